--- a/wisteriawood/machines/attempts.py
+++ b/wisteriawood/machines/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: one round of a scheduler with one worker."""
+"""Reconciles the task attempts on a worker with the scheduler's records."""
 
 import typing
 
@@ -19,26 +19,27 @@
 if typing.TYPE_CHECKING:
     from wisteriawood.machines import schedulers
 
-# A round that takes longer ends early, so that leases are renewed in time.
-ROUND_MAX_S = 3.0
+# A reconciliation that takes longer stops early, so that leases are
+# renewed in time.
+RECONCILE_MAX_S = 3.0
 USAGE_PERIOD_S = 2.0
-# Time for which a service instance that is to leave may end its requests.
+# Time for a service instance to finish its requests before it is stopped.
 SERVICE_DRAIN_S = 5.0
-MAX_REFUSALS = 3
+MAX_START_REFUSALS = 3
 
 _LOG = events.Logger(name=__name__)
 _RUNNING = worker_links.AttemptState.RUNNING
 
 
-class Round:
-    """One round with one worker: its inventory, and what follows from it.
+class Reconciliation:
+    """Compares a worker's inventory with its placements and acts on it.
 
     Args:
         scheduler: The scheduler that holds the rack.
         rack: The rack.
         worker: The worker.
-        inventory: What the worker runs.
-        sent_at_s: Monotonic time before the inventory was asked for.
+        inventory: Inventory of the worker's attempts.
+        sent_at_s: Monotonic time just before the inventory was requested.
     """
 
     __slots__ = (
@@ -65,8 +66,9 @@
         self._worker = worker
         self._inventory = inventory
         self._sent_at_s = sent_at_s
-        # The worker read its clock before the answer arrived, so a time
-        # reckoned from the arrival is never later than it should be.
+        # The worker read its clock before its answer arrived, so this
+        # offset is never too large, and a deadline converted with it is
+        # never too late.
         worker.to_worker_s = inventory.clock_s - anyio.current_time()
         self._reports = {
             (report.task, report.attempt): report
@@ -79,29 +81,29 @@
         }
 
     async def run(self) -> None:
-        """Renew the leases, then do what each task needs.
+        """Renew the leases, then start, stop or update each task.
 
         Raises:
-            LinkError: The worker does not answer.
+            LinkError: The worker does not respond.
         """
-        ends_at_s = anyio.current_time() + ROUND_MAX_S
+        ends_at_s = anyio.current_time() + RECONCILE_MAX_S
         self._worker.see_capacity(self._inventory.capacity)
-        await self._stop_strangers()
+        await self._stop_unknown_attempts()
         await leases.renew(
             self._scheduler,
             self._rack,
             self._worker,
-            running=self._renewed(),
+            running=self._renewable(),
         )
         for placement in list(self._worker.placements.values()):
             if not placement.is_committed or placement.change is not None:
                 continue
-            await self._step(placement)
+            await self._reconcile_task(placement)
             if anyio.current_time() > ends_at_s:
                 self._worker.wake()
                 return
 
-    def _renewed(self) -> list[workers.Placement]:
+    def _renewable(self) -> list[workers.Placement]:
         return [
             placement
             for placement in self._worker.placements.values()
@@ -124,7 +126,7 @@
     def _may_act(self) -> bool:
         return self._scheduler.has_authority(self._rack)
 
-    async def _stop_strangers(self) -> None:
+    async def _stop_unknown_attempts(self) -> None:
         needs = resources.NOTHING
         for report in self._inventory.attempts:
             placement = self._worker.placements.get(report.task)
@@ -144,16 +146,16 @@
             await self._worker.link.stop(report.task, report.attempt)
         self._worker.count_strangers(needs)
 
-    async def _step(self, placement: workers.Placement) -> None:
+    async def _reconcile_task(self, placement: workers.Placement) -> None:
         report = self._report(placement)
         if report is None:
-            await self._step_absent(placement)
+            await self._reconcile_absent(placement)
         elif report.state == _RUNNING:
-            await self._step_running(placement, report)
+            await self._reconcile_running(placement, report)
         elif self._may_act():
             self._record_end(placement, report)
 
-    async def _step_absent(self, placement: workers.Placement) -> None:
+    async def _reconcile_absent(self, placement: workers.Placement) -> None:
         if not self._may_act():
             return
         if self._may_start(placement):
@@ -161,15 +163,15 @@
                 await self._start(placement)
             return
         if self._sent_at_s <= placement.not_after_s:
-            # A start command may still be on its way.
+            # A start command may still be in flight.
             return
         reason = placement.eviction or "its worker no longer runs it"
-        transitions.vacate(
+        transitions.remove_from_worker(
             self._scheduler, self._rack, self._worker, placement, reason
         )
 
     def _may_start(self, placement: workers.Placement) -> bool:
-        """Tell whether the attempt has surely not run here before."""
+        """Return whether the attempt certainly has not run here before."""
         return (
             placement.task.state == tasks.TaskState.ASSIGNED
             and not placement.is_unwanted()
@@ -205,7 +207,8 @@
             ) as command.traceparent:
                 is_started = await self._worker.link.start(command)
         except errors.PlatformError:
-            # The worker can't read the checkpoint; it is asked again.
+            # The worker could not read the checkpoint; the next
+            # reconciliation sends the command again.
             return
         if is_started:
             placement.is_started = True
@@ -213,17 +216,17 @@
             return
         placement.refusals += 1
         _LOG.log(events.START_REFUSED, task=placement.task.spec.id)
-        if placement.refusals >= MAX_REFUSALS:
+        if placement.refusals >= MAX_START_REFUSALS:
             placement.eviction = "its worker refused to start it"
 
-    async def _step_running(
+    async def _reconcile_running(
         self,
         placement: workers.Placement,
         report: worker_links.AttemptReport,
     ) -> None:
         task = placement.task
         if report.address:
-            _see_target(self._rack, task, report)
+            _add_service_target(self._rack, task, report)
         if report.throttle != placement.throttle:
             await self._worker.link.throttle(
                 task.spec.id, task.attempt, placement.throttle
@@ -252,7 +255,7 @@
         return now_s >= placement.stop_not_before_s
 
     async def _begin_eviction(self, placement: workers.Placement) -> None:
-        """Write a checkpoint; the row names it before the stop is sent."""
+        """Write a checkpoint and record its key before sending a stop."""
         task = placement.task
         checkpoint = ""
         if task.spec.kind != tasks.TaskKind.SERVICE:
@@ -286,21 +289,21 @@
         placement: workers.Placement,
         report: worker_links.AttemptReport,
     ) -> None:
-        where = (self._scheduler, self._rack, self._worker, placement)
+        args = (self._scheduler, self._rack, self._worker, placement)
         if report.state == worker_links.AttemptState.FINISHED:
             task = placement.task.spec.id
             self._scheduler.placer.note_success(task, self._worker.name)
-            transitions.end(*where, state=tasks.TaskState.FINISHED, reason="")
+            transitions.end(*args, state=tasks.TaskState.FINISHED, reason="")
         elif report.state == worker_links.AttemptState.FAILED:
-            transitions.fail(*where, report.reason)
+            transitions.fail(*args, report.reason)
         else:
             reason = placement.task.reason
             if placement.task.state != tasks.TaskState.STOPPING:
                 reason = "its lease lapsed, or another stopped it"
-            transitions.vacate(*where, reason)
+            transitions.remove_from_worker(*args, reason)
 
 
-def _see_target(
+def _add_service_target(
     rack: racks.Rack,
     task: tasks.Task,
     report: worker_links.AttemptReport,
@@ -319,12 +322,12 @@
     _LOG.log(events.TARGET_ADDED, target=target_id)
 
 
-async def serve(
+async def reconcile(
     scheduler: "schedulers.Scheduler",
     rack: racks.Rack,
     worker: workers.Worker,
 ) -> None:
-    """Serve a worker for one round.
+    """Reconcile a worker once.
 
     Args:
         scheduler: The scheduler that holds the rack.
@@ -332,8 +335,8 @@
         worker: The worker.
 
     Raises:
-        LinkError: The worker does not answer.
-        PlatformError: A row could not be read anew.
+        LinkError: The worker does not respond.
+        PlatformError: A row could not be read again.
     """
     for placement in list(worker.placements.values()):
         await transitions.settle(scheduler, rack, worker, placement)
@@ -341,17 +344,17 @@
     try:
         inventory = await worker.link.inventory()
     except errors.LinkError:
-        _take_lapsed(scheduler, rack, worker)
+        _remove_expired(scheduler, rack, worker)
         raise
     if inventory.worker != worker.name:
-        _take_lapsed(scheduler, rack, worker)
+        _remove_expired(scheduler, rack, worker)
         raise errors.LinkClosedError(
             f"{worker.address} answers as {inventory.worker!r}"
         )
     if not worker.is_known:
         worker.is_known = True
         _LOG.log(events.WORKER_CONNECTED, worker=worker.name)
-    await Round(
+    await Reconciliation(
         scheduler=scheduler,
         rack=rack,
         worker=worker,
@@ -365,12 +368,12 @@
         }
 
 
-def _take_lapsed(
+def _remove_expired(
     scheduler: "schedulers.Scheduler",
     rack: racks.Rack,
     worker: workers.Worker,
 ) -> None:
-    """Take tasks from a silent worker whose leases have surely lapsed."""
+    """Remove the tasks of an unresponsive worker whose leases expired."""
     for placement in list(worker.placements.values()):
         if not placement.is_committed or placement.change is not None:
             continue
@@ -378,4 +381,6 @@
             worker, placement
         ):
             reason = "its worker does not answer and its lease lapsed"
-            transitions.vacate(scheduler, rack, worker, placement, reason)
+            transitions.remove_from_worker(
+                scheduler, rack, worker, placement, reason
+            )
--- a/wisteriawood/machines/cancels.py
+++ b/wisteriawood/machines/cancels.py
@@ -1,4 +1,4 @@
-"""Cancellation: carries out the operators' requests to cancel tasks."""
+"""Executes the requests of operators to cancel tasks."""
 
 import dataclasses
 import time
@@ -17,40 +17,41 @@
 if typing.TYPE_CHECKING:
     from wisteriawood.machines import schedulers
 
-CANCEL_PERIOD_S = 1.0
-# Rounds after which a request that nobody has carried out is looked into.
-LOOK_UP_ROUNDS = 4
+CANCEL_SCAN_PERIOD_S = 1.0
+# Number of scans after which the task of a request that is still open is
+# looked up, as it may have ended already.
+STALE_CHECK_SCANS = 4
 
 
 class Canceller:
-    """Follows the requests to cancel tasks of one zone.
+    """Processes the requests to cancel tasks of one zone.
 
-    A request's row stays until the task's end is committed with it, so
-    that any later holder of the task finds it.
+    The row of a request is deleted in the transaction that ends its task.
+    Until then, any later holder of the task finds the request.
 
     Args:
-        scheduler: The scheduler that it works for.
+        scheduler: The scheduler whose tasks are cancelled.
     """
 
-    __slots__ = ("_changes", "_rounds", "_scheduler")
+    __slots__ = ("_changes", "_scan_counts", "_scheduler")
 
     def __init__(self, *, scheduler: "schedulers.Scheduler"):
         self._scheduler = scheduler
         self._changes: dict[str, commits.Change] = {}
-        self._rounds: dict[str, int] = {}
+        self._scan_counts: dict[str, int] = {}
 
     async def run(self) -> None:
-        """Follow the requests until cancelled."""
+        """Process the requests periodically, until cancelled."""
         while True:
             if self._scheduler.membership.is_confirmed():
                 try:
-                    await self.follow()
+                    await self.process_requests()
                 except errors.PlatformError:
                     pass
-            await anyio.sleep(CANCEL_PERIOD_S)
+            await anyio.sleep(CANCEL_SCAN_PERIOD_S)
 
-    async def follow(self) -> None:
-        """Read the requests once and carry out what can be.
+    async def process_requests(self) -> None:
+        """Read the requests once and execute those that can be executed.
 
         Raises:
             PlatformError: The table could not be read.
@@ -61,7 +62,7 @@
         )
         if not found:
             self._changes.clear()
-            self._rounds.clear()
+            self._scan_counts.clear()
             return
         left = self._cancel_placed(found)
         if not left:
@@ -76,14 +77,18 @@
             task_id = _task_id(row)
             waiting = pending.get(keys.pending(scheduler.zone, task_id))
             if waiting is not None:
-                self._end(row, waiting)
+                self._end_waiting(row, waiting)
             else:
-                await self._look_up(row)
+                await self._remove_if_ended(row)
 
     def _cancel_placed(
         self, found: list[platforms.Row]
     ) -> list[platforms.Row]:
-        """Mark the tasks on own workers; return the requests left over."""
+        """Cancel the tasks on this scheduler's workers.
+
+        Returns:
+            The remaining requests for which this scheduler is preferred.
+        """
         here = {
             task_id: worker
             for rack in self._scheduler.racks.values()
@@ -104,7 +109,9 @@
         change = self._changes.get(task_id)
         return change is not None and not change.done.is_set()
 
-    def _end(self, request: platforms.Row, waiting: platforms.Row) -> None:
+    def _end_waiting(
+        self, request: platforms.Row, waiting: platforms.Row
+    ) -> None:
         task = rows.from_value(waiting.value, tasks.Task)
         task_id = task.spec.id
         if self._is_changing(task_id):
@@ -131,12 +138,15 @@
             ],
         )
 
-    async def _look_up(self, request: platforms.Row) -> None:
-        """Remove a request once its task has ended."""
+    async def _remove_if_ended(self, request: platforms.Row) -> None:
+        """Delete a request if its task has ended.
+
+        The task is looked up only at every STALE_CHECK_SCANS-th call.
+        """
         task_id = _task_id(request)
-        count = self._rounds.get(task_id, 0) + 1
-        self._rounds[task_id] = count
-        if count % LOOK_UP_ROUNDS or self._is_changing(task_id):
+        count = self._scan_counts.get(task_id, 0) + 1
+        self._scan_counts[task_id] = count
+        if count % STALE_CHECK_SCANS or self._is_changing(task_id):
             return
         found = await self._scheduler.platform.read(keys.pointer(task_id))
         key = keys.ended(task_id)
--- a/wisteriawood/machines/daemons.py
+++ b/wisteriawood/machines/daemons.py
@@ -1,4 +1,4 @@
-"""Daemons: thin processes around an entry host or a scheduler."""
+"""Daemon processes that run an entry host or a scheduler."""
 
 import contextlib
 import random
@@ -24,7 +24,7 @@
 from wisteriawood.telemetry import metrics
 from wisteriawood.telemetry import spans
 
-# Time in which the balancer sees that the daemon is not ready any more.
+# Time for the load balancer to notice that the daemon is no longer ready.
 DRAIN_NOTICE_S = 1.0
 
 _LOG = events.Logger(name=__name__)
@@ -33,11 +33,11 @@
 def make_member(
     config: settings.Settings, role: holdings.Role
 ) -> holdings.MemberRow:
-    """Return the member row of a new start of a daemon.
+    """Return the member row for a newly started daemon.
 
     Args:
         config: Settings of the daemon.
-        role: What it does.
+        role: Role of the daemon.
     """
     return holdings.MemberRow(
         name=config.name,
@@ -54,13 +54,13 @@
     drain: typing.Callable[[], typing.Awaitable[None]],
 ) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as caught:
-        async for _number in caught:
+        async for _signal in caught:
             await drain()
             return
 
 
 @contextlib.asynccontextmanager
-async def _daemon(
+async def _daemon_lifecycle(
     config: settings.Settings,
     role: holdings.Role,
     drain: typing.Callable[[], typing.Awaitable[None]],
@@ -75,7 +75,7 @@
 
 
 class EntryDaemon:
-    """An entry host with its servers.
+    """An entry host with its caller, peer and operator servers.
 
     Args:
         config: Settings of the daemon.
@@ -100,7 +100,7 @@
         self._callers_stopping = anyio.Event()
 
     async def drain(self) -> None:
-        """Take no new requests, finish those in flight and stop."""
+        """Stop accepting requests, finish those in flight and exit."""
         _LOG.log(events.DAEMON_DRAINING, name=self.config.name)
         self.host.membership.own.state = holdings.HostState.DRAINING
         self.host.is_draining = True
@@ -122,7 +122,7 @@
         self._callers_done.set()
 
     async def run(self) -> None:
-        """Run until the daemon is told to stop."""
+        """Run until the daemon is stopped."""
         host = self.host
         operator_app = operators.make_app(
             registry=host.counters.registry,
@@ -131,7 +131,7 @@
         )
         role = holdings.Role.ENTRY
         async with (
-            _daemon(self.config, role, self.drain) as group,
+            _daemon_lifecycle(self.config, role, self.drain) as group,
             peers.serve(
                 address=self.config.peer_address, handler=host.peering.serve
             ),
@@ -149,7 +149,7 @@
 
 
 async def run_entry(config: settings.Settings) -> None:
-    """Run an entry daemon until it is told to stop.
+    """Run an entry daemon until it is stopped.
 
     Args:
         config: Settings of the daemon.
@@ -158,7 +158,7 @@
 
 
 async def run_scheduler(config: settings.Settings) -> None:
-    """Run a scheduler daemon until it is told to stop.
+    """Run a scheduler daemon until it is stopped.
 
     Args:
         config: Settings of the daemon.
@@ -187,7 +187,9 @@
         status=scheduler.status,
         explain=scheduler.placer.explain,
     )
-    async with _daemon(config, holdings.Role.SCHEDULER, _drain) as group:
+    async with _daemon_lifecycle(
+        config, holdings.Role.SCHEDULER, _drain
+    ) as group:
         async with peers.serve(
             address=config.peer_address, handler=scheduler.serve_peer
         ):
--- a/wisteriawood/machines/grantors.py
+++ b/wisteriawood/machines/grantors.py
@@ -1,4 +1,4 @@
-"""Grantors: the part of a scheduler that grants slots to entry hosts."""
+"""Grants the slots of targets to entry hosts, for a scheduler."""
 
 import typing
 
@@ -20,28 +20,28 @@
 from wisteriawood.zones import probes
 
 REVIEW_PERIOD_S = 0.25
-# A process that has said nothing for so long is probed.
-SILENT_S = 1.5
+# An entry host that has sent nothing for this long is probed.
+PROBE_ENTRY_HOST_AFTER_S = 1.5
 TAKE_BACK_S = terms.SLOT_TERM_S + terms.DRIFT_MARGIN_S
 
 _LOG = events.Logger(name=__name__)
 
 
 class Grantor:
-    """Grants the slots of the targets on the racks that are held.
+    """Grants the slots of the targets on the scheduler's racks.
 
     Args:
         members: Membership of the scheduler.
         held: Racks that the scheduler holds, by name.
         stopping: Set once the scheduler stops.
-        on_slowdown: Takes how much slower a target answers an entry
-            host than its peers do.
+        on_slowdown: Called with the id of a target and the ratio of its
+            latency to that of its peers, as an entry host measured it.
         dial_peer: Opens a channel to the peer at an address.
     """
 
     __slots__ = (
-        "_held",
-        "_listed",
+        "_entry_members",
+        "_held_racks",
         "_members",
         "_on_slowdown",
         "_probes",
@@ -61,10 +61,10 @@
         dial_peer: typing.Callable,
     ):
         self._members = members
-        self._held = held
+        self._held_racks = held
         self._stopping = stopping
         self._on_slowdown = on_slowdown
-        self._listed: dict[str, holdings.MemberRow] = {}
+        self._entry_members: dict[str, holdings.MemberRow] = {}
         self._probes = probes.Prober(
             dial_peer=dial_peer,
             suspects=self._suspects,
@@ -75,7 +75,7 @@
         self.holders: dict[str, slot_books.Holder] = {}
 
     async def run(self) -> None:
-        """Take back what silent entry hosts hold, for ever."""
+        """Reclaim the slots of unresponsive entry hosts until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._probes.run)
             while True:
@@ -83,32 +83,32 @@
                 await anyio.sleep(REVIEW_PERIOD_S)
 
     def _suspects(self) -> list[holdings.MemberRow]:
-        """Return the entry hosts that owe an answer."""
+        """Return the entry hosts from which a message is overdue."""
         now_s = anyio.current_time()
-        owing = {
+        unanswered = {
             incarnation
             for book in self.books.values()
-            if now_s - book.claimed_s > SILENT_S
+            if now_s - book.claimed_s > PROBE_ENTRY_HOST_AFTER_S
             for incarnation in book.unanswered_until_s or ()
             if not self._quarantines.is_dead(incarnation)
         }
         found = {
             member.incarnation: member
-            for member in self._listed.values()
-            if member.incarnation in owing
+            for member in self._entry_members.values()
+            if member.incarnation in unanswered
         }
         for incarnation, holder in self.holders.items():
-            if now_s - holder.updated_s > SILENT_S:
+            if now_s - holder.updated_s > PROBE_ENTRY_HOST_AFTER_S:
                 found[incarnation] = holder.member
         return list(found.values())
 
     def review(self) -> None:
-        """Bring the books up to date with the racks and the clock."""
+        """Update the books for changed racks, members and expired times."""
         now_s = anyio.current_time()
-        self._follow_racks(now_s)
+        self._sync_books(now_s)
         for holder in list(self.holders.values()):
             if self._may_take_back(holder, now_s):
-                self._take_back(holder, now_s)
+                self._reclaim_slots(holder, now_s)
         for book in self.books.values():
             if book.unanswered_until_s is None:
                 self._list_unanswered(book, now_s)
@@ -118,21 +118,24 @@
         for book in self.books.values():
             book.review(now_s=now_s)
 
-    def _follow_racks(self, now_s: float) -> None:
-        for name, rack in self._held.items():
+    def _sync_books(self, now_s: float) -> None:
+        for name, rack in self._held_racks.items():
             book = self.books.get(name)
             if book is None or book.claim.epoch != rack.holding.epoch:
                 claim = grants.RackClaim(rack=name, epoch=rack.holding.epoch)
                 self.books[name] = slot_books.SlotBook(
                     claim=claim, now_s=now_s
                 )
-        for name in set(self.books) - set(self._held):
+        for name in set(self.books) - set(self._held_racks):
             del self.books[name]
 
     def _list_unanswered(
         self, book: slot_books.SlotBook, now_s: float
     ) -> None:
-        """Note who may hold slots, once read after the claim."""
+        """Record which entry hosts may hold slots that were granted before.
+
+        The members must have been read after the rack was claimed.
+        """
         if not self._members.watched_since(book.claimed_s):
             return
         until_s = (
@@ -155,12 +158,12 @@
             member = sighting.member
             if role != holdings.Role.ENTRY:
                 continue
-            before = self._listed.get(name)
-            self._listed[name] = member
+            before = self._entry_members.get(name)
+            self._entry_members[name] = member
             if before is not None and member.replaces(before):
                 self.see_dead(before)
             if member.state == holdings.HostState.GONE:
-                # It has returned all that it held.
+                # It returned all its slots before it stopped.
                 for book in self.books.values():
                     book.quarantine(
                         member.incarnation, until_s=now_s, is_dead=True
@@ -173,21 +176,22 @@
         if silent_s <= TAKE_BACK_S or not self._members.is_confirmed():
             return False
         since_s = self._members.term.unbroken_since_s()
-        # After a break the entry host may have read that the term ended,
-        # and keep its slots for a successor until the horizon.
+        # If the term was interrupted since, the entry host may have read
+        # that it ended, and may keep its slots until the horizon so that
+        # another scheduler can take over.
         return since_s is not None and since_s <= holder.updated_s
 
-    def _take_back(self, holder: slot_books.Holder, now_s: float) -> None:
-        self._end(holder.member, now_s=now_s, is_dead=False)
+    def _reclaim_slots(self, holder: slot_books.Holder, now_s: float) -> None:
+        self._end_shares(holder.member, now_s=now_s, is_dead=False)
         _LOG.log(events.SLOTS_TAKEN_BACK, entry=holder.member.name)
 
-    def _end(
+    def _end_shares(
         self, member: holdings.MemberRow, *, now_s: float, is_dead: bool
     ) -> None:
-        """Let the shares of a process end that surely sends nothing new."""
+        """Quarantine the shares of a process that sends no new requests."""
         holder = self.holders.pop(member.incarnation, None)
         if holder is not None:
-            holder.is_silent = True
+            holder.is_closed = True
         self._quarantine(
             self._quarantines.open(member, ended_s=now_s, is_dead=is_dead)
         )
@@ -201,36 +205,36 @@
             )
 
     def see_dead(self, member: holdings.MemberRow) -> None:
-        """Take the proof that a process of an entry host is dead.
+        """Record that a process of an entry host is proved dead.
 
         Args:
-            member: Its member row.
+            member: Member row of the process.
         """
-        self._end(member, now_s=anyio.current_time(), is_dead=True)
+        self._end_shares(member, now_s=anyio.current_time(), is_dead=True)
         _LOG.log(events.ENTRY_HOST_DEAD, entry=member.name)
 
     async def serve(
         self, hello: messages.Hello, channel: channels.Channel
     ) -> None:
-        """Serve one entry host's link until it breaks.
+        """Serve the link to an entry host until it is closed.
 
         Args:
             hello: The entry host's hello.
-            channel: Channel to it.
+            channel: Channel to the entry host.
 
         Raises:
-            LinkError: The link broke.
+            LinkError: The link failed.
         """
         holder = self.open(hello.member)
         await channel.send(messages.Hello(member=self._members.own))
         while not self._stopping.is_set():
             report = await channel.receive()
-            if holder.is_silent or self._stopping.is_set():
+            if holder.is_closed or self._stopping.is_set():
                 return
             await channel.send(self.answer(holder, report))
 
     def open(self, member: holdings.MemberRow) -> slot_books.Holder:
-        """Begin a link to an entry host; it ends the links before.
+        """Register a link to an entry host; it replaces any earlier one.
 
         Args:
             member: The entry host's member row.
@@ -243,11 +247,11 @@
         now_s = anyio.current_time()
         holder = slot_books.Holder(member=member, now_s=now_s)
         if before is not None:
-            before.is_silent = True
+            before.is_closed = True
             holder.updated_s = before.updated_s
         for book in self.books.values():
-            # What it held on the link before stays counted until it
-            # answers on this one.
+            # The slots it held on the earlier link stay counted until it
+            # answers the claim on this one.
             book.answered.discard(member.incarnation)
         self.holders[member.incarnation] = holder
         _LOG.log(events.PEER_CONNECTED, peer=member.name)
@@ -256,14 +260,14 @@
     def answer(
         self, holder: slot_books.Holder, report: messages.SlotReport
     ) -> messages.SlotUpdate:
-        """Take a report and return what the entry host may hold.
+        """Apply a report and return the update to send in reply.
 
         Args:
             holder: The entry host.
-            report: Its report.
+            report: Report of the entry host.
         """
         self.review()
-        self._take_report(holder, report)
+        self._apply_report(holder, report)
         now_s = anyio.current_time()
         update = messages.SlotUpdate(
             sequence=report.sequence, horizon_s=self._horizon_s(now_s)
@@ -275,7 +279,7 @@
                 continue
             if incarnation in book.answered:
                 renewed.add(name)
-                update.granted.extend(self._grants(holder, book))
+                update.granted.extend(self._changed_grants(holder, book))
             else:
                 update.claims.append(book.claim)
         update.withdrawn = sorted(holder.renewed - renewed)
@@ -290,7 +294,7 @@
         confirmed_s = ends_at_s - self._members.term.duration_s
         return max(0.0, confirmed_s + terms.HORIZON_S - now_s)
 
-    def _take_report(
+    def _apply_report(
         self, holder: slot_books.Holder, report: messages.SlotReport
     ) -> None:
         incarnation = holder.member.incarnation
@@ -305,10 +309,10 @@
             if answer.epoch > book.claim.epoch:
                 book.is_lost = True
             elif answer.epoch == book.claim.epoch:
-                book.forget(incarnation)
+                book.clear_shares(incarnation)
                 book.answered.add(incarnation)
-                waits = book.unanswered_until_s or {}
-                waits.pop(incarnation, None)
+                unanswered = book.unanswered_until_s or {}
+                unanswered.pop(incarnation, None)
         for held in report.holdings:
             book = self.books.get(held.rack)
             if book is None or incarnation not in book.answered:
@@ -316,52 +320,58 @@
             share = book.target(held.target).share(incarnation)
             share.held = held.slots
 
-    def _grants(
+    def _changed_grants(
         self, holder: slot_books.Holder, book: slot_books.SlotBook
     ) -> list[grants.SlotGrant]:
-        rack = self._held.get(book.claim.rack)
+        rack = self._held_racks.get(book.claim.rack)
         if rack is None:
             return []
-        # A successor learns from the table whom it has to ask.
+        # The next holder of the rack finds in the member table which entry
+        # hosts it must ask, so only listed ones get more slots.
         is_listed = self._members.lists(holder.member)
-        may_gain = is_listed and self._members.is_confirmed()
+        may_grant = is_listed and self._members.is_confirmed()
         changed = []
         for target in rack.targets.values():
-            # Nobody before can have granted a target of this epoch.
+            # No earlier holder can have granted slots of a target that was
+            # started in this epoch.
             is_new = target.since_epoch == book.claim.epoch
-            may_move = may_gain and (is_new or book.is_counted())
-            grant = self._grant(holder, book, target, may_move=may_move)
+            may_allot = may_grant and (is_new or book.is_counted())
+            grant = self._changed_grant(
+                holder, book, target, may_allot=may_allot
+            )
             if grant is not None:
                 changed.append(grant)
         return changed
 
-    def _grant(
+    def _changed_grant(
         self,
         holder: slot_books.Holder,
         book: slot_books.SlotBook,
         target: targets.TargetSlots,
         *,
-        may_move: bool,
+        may_allot: bool,
     ) -> grants.SlotGrant | None:
-        """Return the grant, or None if the entry host has it already."""
+        """Return the new grant, or None if the entry host already has it."""
         incarnation = holder.member.incarnation
         counted = book.target(target.id)
         share = counted.share(incarnation)
         if target.leaving or holder.is_draining:
             share.granted = 0
-        elif may_move:
+        elif may_allot:
             counted.allot(
                 holder=incarnation,
-                fair=self._fair(target).get(incarnation, 0),
+                fair=self._fair_shares(target).get(incarnation, 0),
                 free=target.slots - counted.counted(),
             )
         else:
             share.granted = share.held
-        is_known = share.is_listed and share.is_leaving == target.leaving
+        is_known = (
+            share.is_announced and share.is_leaving_announced == target.leaving
+        )
         if is_known and share.granted == share.held:
             return None
-        share.is_listed = True
-        share.is_leaving = target.leaving
+        share.is_announced = True
+        share.is_leaving_announced = target.leaving
         return grants.SlotGrant(
             target=target.id,
             address=target.address,
@@ -373,7 +383,7 @@
             leaving=target.leaving,
         )
 
-    def _fair(self, target: targets.TargetSlots) -> dict[str, int]:
+    def _fair_shares(self, target: targets.TargetSlots) -> dict[str, int]:
         service = f"{target.team}/{target.service}"
         return shares.divide(
             target=target.id,
--- a/wisteriawood/machines/keepers.py
+++ b/wisteriawood/machines/keepers.py
@@ -1,4 +1,4 @@
-"""The keeper of racks: claims, verifies, adopts and releases them."""
+"""Claims, verifies and releases racks, and adopts their tasks."""
 
 import typing
 
@@ -21,19 +21,19 @@
 if typing.TYPE_CHECKING:
     from wisteriawood.machines import schedulers
 
-RACK_PERIOD_S = 1.0
-FORMER_PERIOD_S = 2.0
-# A holder that has not renewed its row for so long is probed.
-SILENT_S = 2.5
+RACK_CHECK_PERIOD_S = 1.0
+FORMER_CHECK_PERIOD_S = 2.0
+# A holder that has not renewed its member row for this long is probed.
+PROBE_HOLDER_AFTER_S = 2.5
 
 _LOG = events.Logger(name=__name__)
 
 
-class RackKeeper:
-    """Holds racks of one zone for a scheduler, by rows of the table.
+class RackManager:
+    """Manages the rows by which a scheduler holds racks of its zone.
 
     Args:
-        scheduler: The scheduler that it works for.
+        scheduler: The scheduler that holds the racks.
         dial_peer: Opens a channel to the peer at an address.
     """
 
@@ -51,14 +51,14 @@
         )
 
     async def run(self) -> None:
-        """Look after the racks until cancelled."""
+        """Check the racks and their former holders until cancelled."""
         async with anyio.create_task_group() as group:
-            group.start_soon(self._follow_racks)
-            group.start_soon(self._follow_formers)
+            group.start_soon(self._check_racks_forever)
+            group.start_soon(self._check_formers_forever)
             group.start_soon(self._probes.run)
 
     def _suspects(self) -> list[holdings.MemberRow]:
-        """Return the holders of racks that do not renew their rows."""
+        """Return the rack holders whose member rows are not renewed."""
         members = self._scheduler.membership
         now_s = anyio.current_time()
         return [
@@ -68,25 +68,26 @@
             and name in self._scheduler.rack_holders
             and sighting.member.peer_address
             and sighting.member.incarnation not in members.dead
-            and now_s - sighting.first_seen_s > SILENT_S
+            and now_s - sighting.first_seen_s > PROBE_HOLDER_AFTER_S
         ]
 
     def _see_dead(self, member: holdings.MemberRow) -> None:
         self._scheduler.membership.dead.add(member.incarnation)
         _LOG.log(events.SCHEDULER_DEAD, scheduler=member.name)
 
-    async def _follow_racks(self) -> None:
+    async def _check_racks_forever(self) -> None:
         while True:
             if self._scheduler.membership.is_confirmed():
                 try:
                     await self._check_racks()
                 except errors.PlatformError:
                     pass
-            with anyio.move_on_after(RACK_PERIOD_S):
+            with anyio.move_on_after(RACK_CHECK_PERIOD_S):
                 await self._scheduler.membership.changed.wait()
 
     async def _check_racks(self) -> None:
-        # Read before the rows, so that they are newer than the term.
+        # The start of the term is read first, so that the rows read below
+        # are newer than it.
         since_s = self._scheduler.membership.term.unbroken_since_s()
         hosts = [
             host
@@ -106,7 +107,7 @@
             for row in found.values()
         } - {""}
         for name in list(self._scheduler.racks):
-            self._check_rack(name, found.get(name), since_s)
+            self._verify_rack(name, found.get(name), since_s)
         for name in sorted({host.rack for host in hosts} | set(found)):
             if name in self._scheduler.racks:
                 continue
@@ -116,9 +117,9 @@
             if claim is not None:
                 await self._claim_rack(claim, since_s)
         self._scheduler.counters.racks_held.set(len(self._scheduler.racks))
-        self._adopt_hosts(hosts)
+        self._update_hosts(hosts)
 
-    def _check_rack(
+    def _verify_rack(
         self, name: str, row: platforms.Row | None, since_s: float | None
     ) -> None:
         rack = self._scheduler.racks[name]
@@ -164,7 +165,7 @@
         task = rows.from_value(row.value, tasks.Task)
         worker = rack.workers.get(task.worker)
         if worker is None:
-            # Its worker may be missing from the host list.
+            # The worker may be missing from the host list.
             worker = self._scheduler.add_worker(
                 rack, task.worker, task.worker_address, resources.NOTHING
             )
@@ -182,7 +183,7 @@
             )
         )
 
-    def _adopt_hosts(self, hosts: list[platforms.Host]) -> None:
+    def _update_hosts(self, hosts: list[platforms.Host]) -> None:
         listed = set()
         for host in hosts:
             rack = self._scheduler.racks.get(host.rack)
@@ -201,10 +202,10 @@
                 host.leaving or self._scheduler.drains.is_ordered(host.name)
             )
         for rack in self._scheduler.racks.values():
-            rack.forget_workers(listed)
+            rack.remove_missing_workers(listed)
 
-    async def _follow_formers(self) -> None:
-        """Find out which former holders are surely dead."""
+    async def _check_formers_forever(self) -> None:
+        """Detect former holders of racks whose processes are dead."""
         while True:
             formers: dict[str, list[racks.Rack]] = {}
             for rack in self._scheduler.racks.values():
@@ -212,15 +213,15 @@
                     held = formers.setdefault(rack.former.incarnation, [])
                     held.append(rack)
             for held in formers.values():
-                if await self._is_gone(held[0].former):
+                if await self._is_dead(held[0].former):
                     for rack in held:
-                        rack.see_former_gone()
+                        rack.mark_former_dead()
                         _LOG.log(
                             events.FORMER_HOLDER_GONE, rack=rack.holding.rack
                         )
-            await anyio.sleep(FORMER_PERIOD_S)
+            await anyio.sleep(FORMER_CHECK_PERIOD_S)
 
-    async def _is_gone(self, former: holdings.MemberRow) -> bool:
+    async def _is_dead(self, former: holdings.MemberRow) -> bool:
         sighting = self._scheduler.membership.sightings.get(
             (former.role, former.name)
         )
@@ -229,7 +230,7 @@
         return await probes.is_refused(self._dial_peer, former)
 
     async def release(self) -> None:
-        """Give the racks up, saying how long their leases may last."""
+        """Release the racks, recording how long their leases may last."""
         await self._scheduler.commits.flush()
         async with anyio.create_task_group() as group:
             for rack in list(self._scheduler.racks.values()):
--- a/wisteriawood/machines/leases.py
+++ b/wisteriawood/machines/leases.py
@@ -1,4 +1,4 @@
-"""Leases of the attempts on a worker, as the holder of its rack knows them."""
+"""Renews and tracks the leases of the attempts on a worker."""
 
 import typing
 
@@ -20,20 +20,21 @@
     *,
     running: list[workers.Placement],
 ) -> None:
-    """Renew leases in place, in one command.
+    """Renew the leases of running attempts with one command.
 
-    With authority they get the short lease. Without, they get one up to
-    the horizon after the last term in which the rack was surely held: no
-    longer, since a successor waits just as long.
+    A scheduler with authority over the rack grants the short lease. One
+    without extends the leases up to the horizon, counted from the end of
+    the last term in which the rack was certainly held. It may not extend
+    them further, because the next holder waits exactly that long.
 
     Args:
         scheduler: The scheduler that holds the rack.
         rack: The rack.
         worker: The worker.
-        running: Tasks whose attempts run there.
+        running: Tasks whose attempts run on the worker.
 
     Raises:
-        LinkError: The worker does not answer.
+        LinkError: The worker does not respond.
     """
     sent_at_s = anyio.current_time()
     not_after_s = sent_at_s + terms.COMMAND_LIFE_S
@@ -53,7 +54,7 @@
         )
     )
     worker.unacked_not_after_s, worker.unacked_ends_s = before
-    _take_in(
+    _record_renewal(
         rack,
         worker,
         running,
@@ -62,7 +63,7 @@
     )
 
 
-def _take_in(
+def _record_renewal(
     rack: racks.Rack,
     worker: workers.Worker,
     running: list[workers.Placement],
@@ -71,18 +72,22 @@
     ends_at_s: float,
 ) -> None:
     if sent_at_s > worker.unacked_not_after_s:
-        # No earlier one is under way any more, and this one overrode it.
+        # No earlier renewal can still be in flight, and this one replaced
+        # its lease.
         worker.unacked_ends_s = 0.0
     for placement in running:
         if placement.is_adopted and sent_at_s <= rack.rival_until_s:
-            # The former holder may renew it again after us.
+            # The former holder may still renew the lease after this
+            # renewal, so the later end counts.
             placement.lease_ends_s = max(ends_at_s, placement.lease_ends_s)
         else:
             placement.lease_ends_s = ends_at_s
 
 
 def is_lapsed(worker: workers.Worker, placement: workers.Placement) -> bool:
-    """Tell whether a task's attempt has surely stopped with its lease.
+    """Return whether the lease of a task's attempt has certainly expired.
+
+    The worker stops an attempt when its lease expires.
 
     Args:
         worker: The worker.
--- a/wisteriawood/machines/quarantines.py
+++ b/wisteriawood/machines/quarantines.py
@@ -1,4 +1,4 @@
-"""Quarantines: how long requests of ended entry hosts may still run."""
+"""Quarantines: how long requests of stopped entry hosts may still run."""
 
 import dataclasses
 
@@ -10,13 +10,14 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Quarantine:
-    """The shares of a process that sends nothing new.
+    """Quarantine of the slots of a process that sends no new requests.
 
     Attributes:
-        member: Its member row when that was found out.
-        ended_s: Monotonic time after its last request had left.
-        is_dead: Whether it has surely ended, and holds nothing at all.
-        longest_s: Seconds that its last request may take.
+        member: Member row of the process when the quarantine began.
+        ended_s: Monotonic time in seconds after its last request was sent.
+        is_dead: Whether the process is proved dead and holds no slots; else
+            it only stopped responding.
+        longest_s: Longest time in seconds that its last request may take.
     """
 
     member: holdings.MemberRow
@@ -25,16 +26,17 @@
     longest_s: float = requests.LONGEST_REQUEST_S
 
     def until_s(self) -> float:
-        """Return the monotonic time at which its last request has ended."""
+        """Return the monotonic time by which its last request has ended."""
         return self.ended_s + self.longest_s + terms.DRIFT_MARGIN_S
 
 
 class Quarantines:
-    """Processes of entry hosts that have sent their last request.
+    """Quarantined processes of entry hosts, which send no new requests.
 
-    How long that one may take stands in the process's row. Only a row read
-    after the end tells it; until then the longest time counts that callers
-    may ask for.
+    A process announces in its member row how long its requests may take.
+    Only a row that was read after its last request was sent is
+    authoritative; until then the longest deadline that callers may request
+    is assumed.
 
     Args:
         members: Membership of the scheduler.
@@ -47,19 +49,23 @@
         self._open: dict[str, Quarantine] = {}
 
     def is_dead(self, incarnation: str) -> bool:
-        """Tell whether a process has surely ended."""
+        """Return whether a process is proved dead."""
         found = self._open.get(incarnation)
         return found is not None and found.is_dead
 
     def open(
         self, member: holdings.MemberRow, *, ended_s: float, is_dead: bool
     ) -> Quarantine:
-        """Begin a quarantine; one that has begun goes on.
+        """Begin a quarantine, or return the one in progress.
+
+        Proof that a process is dead replaces a quarantine that began when
+        it only stopped responding.
 
         Args:
             member: Member row of the process.
-            ended_s: Monotonic time after its last request had left.
-            is_dead: Whether the process has surely ended.
+            ended_s: Monotonic time in seconds after its last request was
+                sent.
+            is_dead: Whether the process is proved dead.
         """
         found = self._open.get(member.incarnation)
         if found is None or (is_dead and not found.is_dead):
@@ -68,15 +74,18 @@
         return found
 
     def drop(self, incarnation: str) -> None:
-        """Forget a process that has come back.
+        """End the quarantine of a process that has reconnected.
 
         Args:
-            incarnation: Its incarnation.
+            incarnation: Incarnation of the process.
         """
         self._open.pop(incarnation, None)
 
     def review(self, *, now_s: float) -> list[Quarantine]:
-        """Read the rows, and return the quarantines.
+        """Update the quarantines from the member rows and return them.
+
+        Those that have expired, and whose process has no row any more, are
+        dropped.
 
         Args:
             now_s: Monotonic time in seconds.
--- a/wisteriawood/machines/racks.py
+++ b/wisteriawood/machines/racks.py
@@ -1,4 +1,4 @@
-"""Racks of workers, as the scheduler that holds them sees them."""
+"""State of a rack in the scheduler that holds it."""
 
 import anyio
 
@@ -16,8 +16,8 @@
     Args:
         holding: The row by which it is held.
         version: Version of that row.
-        former: The scheduler that held it before, unless it is surely
-            gone: it may still renew in place what it had started.
+        former: Member row of the previous holder, unless that is proved
+            dead: it may still renew the leases of attempts it started.
     """
 
     __slots__ = (
@@ -42,19 +42,25 @@
         self.holding = holding
         self.version = version
         self.former = former
-        # Monotonic time until which leases of former holders may last.
+        # Monotonic time until which leases granted by former holders may
+        # last.
         self.adopted_until_s = 0.0
         # Monotonic time until which a former holder may renew leases.
         self.rival_until_s = 0.0
-        # End of the newest term in which the rack was surely held.
+        # Monotonic time at which the newest term ends in which the rack was
+        # certainly held.
         self.term_ends_s = 0.0
-        # Start of the unbroken term in which its row was last verified.
+        # Monotonic start of the uninterrupted term in which the rack's row
+        # was last verified.
         self.verified_since_s: float | None = None
         self.workers: dict[str, workers.Worker] = {}
         self.targets: dict[str, targets.TargetSlots] = {}
 
-    def see_former_gone(self) -> None:
-        """Note that the process of the former holder is surely dead."""
+    def mark_former_dead(self) -> None:
+        """Record that the process of the former holder is proved dead.
+
+        Only its commands in flight can still renew leases.
+        """
         self.former = None
         self.rival_until_s = min(
             self.rival_until_s,
@@ -62,7 +68,7 @@
         )
 
     def lease_left_s(self) -> float:
-        """Return the seconds that the longest lease on it may last."""
+        """Return the seconds until the last lease on the rack has expired."""
         now_s = anyio.current_time()
         ends_s = [
             max(placement.lease_ends_s, worker.unacked_ends_s)
@@ -78,22 +84,22 @@
             version=self.version,
         )
 
-    def forget_workers(self, listed: set[str]) -> None:
-        """Forget workers that are gone; live ones stay, listed or not.
+    def remove_missing_workers(self, listed: set[str]) -> None:
+        """Remove unlisted workers that have no tasks and do not respond.
 
         Args:
             listed: Names of the workers in the host list.
         """
         for worker in list(self.workers.values()):
-            is_empty = not worker.placements and not worker.is_known
-            if is_empty and worker.name not in listed:
+            is_idle = not worker.placements and not worker.is_known
+            if is_idle and worker.name not in listed:
                 del self.workers[worker.name]
 
     def see_target(self, host: platforms.Host) -> None:
-        """Keep a target of the platform's host list.
+        """Add or update a target from the platform's host list.
 
         Args:
-            host: The target's entry in the list.
+            host: Entry of the target in the list.
         """
         target = self.targets.get(host.name)
         if target is None:
--- a/wisteriawood/machines/schedulers.py
+++ b/wisteriawood/machines/schedulers.py
@@ -36,27 +36,28 @@
 from wisteriawood.zones import membership
 from wisteriawood.zones import peering
 
-WORKER_PERIOD_S = 1.0
-REASONS_SHOWN = 100
-# Least pause between two rounds with a worker, so that one inventory
-# serves many starts.
-ROUND_PAUSE_S = 0.1
-# Longest time to release the racks, and then to let the rest live on.
+RECONCILE_PERIOD_S = 1.0
+MAX_WAITING_REASONS = 100
+# Minimum pause between two reconciliations of a worker, so that one
+# inventory call covers many starts.
+RECONCILE_PAUSE_S = 0.1
+# Time limits at shutdown: for releasing the racks, and then for each of
+# extending the remaining leases and publishing the final state.
 RELEASE_MAX_S = 5.0
-LEAVE_MAX_S = 3.0
+SHUTDOWN_STEP_MAX_S = 3.0
 
 _LOG = events.Logger(name=__name__)
 
 
 class Scheduler:
-    """Looks after the racks of one zone that it holds.
+    """Holds racks of one zone, runs tasks on them and grants their slots.
 
     Args:
         platform: Link to the platform.
-        member: Own member row.
+        member: Member row of this scheduler.
         counters: Metrics of the daemon.
-        rng: Source of random numbers.
-        tracer: Makes the spans.
+        rng: Random number generator.
+        tracer: Creates the trace spans.
         dial_worker: Opens the link to the worker at an address.
         dial_peer: Opens the channel to the peer at an address.
         policy: Name of the placement policy.
@@ -71,12 +72,12 @@
         "counters",
         "drains",
         "grantor",
-        "keeper",
         "membership",
         "peering",
         "placer",
         "platform",
         "rack_holders",
+        "rack_manager",
         "racks",
         "stopped",
         "stopping",
@@ -114,7 +115,9 @@
         self.racks: dict[str, racks.Rack] = {}
         self.rack_holders: set[str] = set()
         self.placer = placers.Placer(scheduler=self, rng=rng, policy=policy)
-        self.keeper = keepers.RackKeeper(scheduler=self, dial_peer=dial_peer)
+        self.rack_manager = keepers.RackManager(
+            scheduler=self, dial_peer=dial_peer
+        )
         self.stopping = anyio.Event()
         self.stopped = anyio.Event()
         self.grantor = grantors.Grantor(
@@ -144,10 +147,11 @@
         return ""
 
     def has_authority(self, rack: racks.Rack) -> bool:
-        """Tell whether a rack is surely held now, so that work may move.
+        """Return whether a rack is certainly held, so that tasks may move.
 
-        The own term must hold, and the rack's row must have been read
-        since the term began: after a break another may have taken it.
+        The scheduler's term must be in force, and the rack's row must have
+        been read since that term began: while the term was interrupted,
+        another scheduler may have claimed the rack.
 
         Args:
             rack: The rack.
@@ -162,40 +166,42 @@
         )
 
     async def run(self) -> None:
-        """Look after the racks until the daemon stops."""
+        """Run the scheduler until the daemon stops."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.membership.run)
             group.start_soon(self.peering.run)
             group.start_soon(self.configuration.run)
             group.start_soon(self.drains.run)
             group.start_soon(self.commits.run)
-            async with anyio.create_task_group() as acting:
-                self._group = acting
-                acting.start_soon(self.grantor.run)
-                acting.start_soon(self.keeper.run)
-                acting.start_soon(self.placer.run)
-                acting.start_soon(self.canceller.run)
+            async with anyio.create_task_group() as control_loops:
+                self._group = control_loops
+                control_loops.start_soon(self.grantor.run)
+                control_loops.start_soon(self.rack_manager.run)
+                control_loops.start_soon(self.placer.run)
+                control_loops.start_soon(self.canceller.run)
                 await self.stopping.wait()
-                acting.cancel_scope.cancel()
+                control_loops.cancel_scope.cancel()
             with anyio.move_on_after(RELEASE_MAX_S):
-                await self.keeper.release()
+                await self.rack_manager.release()
             group.cancel_scope.cancel()
-        await self._leave()
+        await self._finish_shutdown()
         self.stopped.set()
 
-    async def _leave(self) -> None:
-        """Let racks not released live on; publish that this start ends."""
-        with anyio.move_on_after(LEAVE_MAX_S):
+    async def _finish_shutdown(self) -> None:
+        """Extend leases on racks not released, then publish state GONE."""
+        with anyio.move_on_after(SHUTDOWN_STEP_MAX_S):
             async with anyio.create_task_group() as group:
                 for rack in self.racks.values():
                     for worker in rack.workers.values():
-                        group.start_soon(self._extend, rack, worker)
-        with anyio.move_on_after(LEAVE_MAX_S):
+                        group.start_soon(self._extend_leases, rack, worker)
+        with anyio.move_on_after(SHUTDOWN_STEP_MAX_S):
             self.membership.own.state = holdings.HostState.GONE
             with contextlib.suppress(errors.PlatformError):
                 await self.membership.renew()
 
-    async def _extend(self, rack: racks.Rack, worker: workers.Worker) -> None:
+    async def _extend_leases(
+        self, rack: racks.Rack, worker: workers.Worker
+    ) -> None:
         running = [
             placement
             for placement in worker.placements.values()
@@ -211,13 +217,13 @@
         address: str,
         capacity: resources.Resources,
     ) -> workers.Worker:
-        """Begin to serve a worker, in a task of its own.
+        """Add a worker and start the task that reconciles it.
 
         Args:
-            rack: Its rack, which is held.
+            rack: Rack of the worker, held by this scheduler.
             name: Name of the worker.
             address: Address of the worker, as host:port.
-            capacity: What it can hold, if known.
+            capacity: Resources of the worker, if known.
         """
         worker = workers.Worker(
             name=name,
@@ -227,20 +233,20 @@
             link=self._dial_worker(address=address),
         )
         rack.workers[name] = worker
-        self._group.start_soon(self._serve_worker, rack, worker)
+        self._group.start_soon(self._reconcile_forever, rack, worker)
         return worker
 
-    async def _serve_worker(
+    async def _reconcile_forever(
         self, rack: racks.Rack, worker: workers.Worker
     ) -> None:
-        """Serve one worker: straight down, once a period or when woken."""
+        """Reconcile one worker, periodically and whenever it is woken."""
         while (
             self.racks.get(rack.holding.rack) is rack
             and rack.workers.get(worker.name) is worker
         ):
             wakeup = worker.wakeup
             try:
-                await attempts.serve(self, rack, worker)
+                await attempts.reconcile(self, rack, worker)
             except errors.LinkError as exc:
                 if worker.is_known:
                     _LOG.log(
@@ -251,23 +257,24 @@
                 worker.is_known = False
             except errors.PlatformError:
                 pass
-            await anyio.sleep(ROUND_PAUSE_S)
-            with anyio.move_on_after(WORKER_PERIOD_S):
+            await anyio.sleep(RECONCILE_PAUSE_S)
+            with anyio.move_on_after(RECONCILE_PERIOD_S):
                 await wakeup.wait()
         await worker.link.aclose()
 
     async def assign(
         self, worker: workers.Worker, placement: workers.Placement
     ) -> None:
-        """Commit an assignment; the worker's task sends the start.
+        """Commit an assignment; the next reconciliation starts the task.
 
         Args:
-            worker: The worker, with the placement counted.
+            worker: The worker; the placement already uses its resources.
             placement: The placement of the waiting task.
         """
         task_id = placement.task.spec.id
         if worker.placements.get(task_id) is not placement:
-            # It is here already; the queue was read before that.
+            # The task is already on this worker: the queue was read before
+            # its assignment was committed.
             return
         rack = self.racks.get(worker.rack)
         try:
@@ -285,13 +292,13 @@
         worker.wake()
 
     async def serve_peer(self, channel: channels.Channel) -> None:
-        """Serve one entry host's link until it breaks.
+        """Serve the link to a peer until it is closed.
 
         Args:
-            channel: Channel to the entry host.
+            channel: Channel to the peer.
 
         Raises:
-            LinkError: The link broke.
+            LinkError: The link failed.
         """
         hello = await channel.receive()
         if hello.topic == messages.Topic.PEER:
@@ -299,17 +306,17 @@
         await self.grantor.serve(hello, channel)
 
     def _waiting_reasons(self) -> dict[str, str]:
-        """Return why the tasks wait that have waited longest."""
+        """Return why the longest-waiting tasks wait, by task id."""
         longest = sorted(
             self.placer.pending.items(), key=lambda item: item[1].since_s
         )
         return {
             task: self.placer.explain(task)
-            for task, _waiting in longest[:REASONS_SHOWN]
+            for task, _waiting in longest[:MAX_WAITING_REASONS]
         }
 
     def status(self) -> dict[str, typing.Any]:
-        """Return what operators see of this scheduler."""
+        """Return the status of this scheduler for operators."""
         return {
             "member": self.membership.own,
             "ready": self.not_ready() or "ready",
--- a/wisteriawood/machines/shares.py
+++ b/wisteriawood/machines/shares.py
@@ -1,11 +1,12 @@
-"""Shares of a target's slots, as the scheduler that grants them counts."""
+"""Shares of a target's slots, as counted by the scheduler granting them."""
 
 import dataclasses
 import hashlib
 import math
 
-# Part of a service's demand that each entry host is granted for a start.
-IDLE_WEIGHT = 0.05
+# Fraction of a service's total demand that is added to the weight of each
+# entry host, so that an idle one also gets slots.
+BASE_DEMAND_FRACTION = 0.05
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -14,21 +15,22 @@
 
     Attributes:
         granted: Slots in the newest grant.
-        held: Slots that the entry host last said it holds.
-        is_listed: Whether the entry host knows the target by this grantor.
-        is_leaving: Whether it has been told that the target leaves.
-        until_s: Monotonic time at which the slots are free at the latest;
-            infinite while the entry host may fill them anew.
+        held: Slots that the entry host last reported.
+        is_announced: Whether this grantor has sent the target to the entry
+            host.
+        is_leaving_announced: Value of `leaving` in the newest grant.
+        until_s: Monotonic time in seconds by which the slots are free;
+            infinite while the entry host may send new requests.
     """
 
     granted: int = 0
     held: int = 0
-    is_listed: bool = False
-    is_leaving: bool = False
+    is_announced: bool = False
+    is_leaving_announced: bool = False
     until_s: float = math.inf
 
     def counted(self) -> int:
-        """Return the slots that count as taken."""
+        """Return the number of slots that count as taken."""
         return max(self.granted, self.held)
 
 
@@ -42,26 +44,32 @@
 ) -> dict[str, int]:
     """Divide a target's slots in proportion to demand.
 
-    Each target rounds at another offset, so that over many targets each
-    entry host gets its proportion, and the parts always sum to the whole.
+    The rounding offset differs from target to target, so that over many
+    targets each entry host gets its proportion. The parts always sum to the
+    number of slots.
 
     Args:
         target: Id of the target.
-        slots: Slots that it has.
-        demand: Slots that each entry host could fill, over all targets.
+        slots: Number of slots of the target.
+        demand: Slots that each entry host could fill, over all targets of
+            the service, by incarnation.
+
+    Returns:
+        Number of slots by incarnation.
     """
     total = sum(demand.values())
-    floor = IDLE_WEIGHT * total if total else 1.0
+    floor = BASE_DEMAND_FRACTION * total if total else 1.0
     weights = {name: demand[name] + floor for name in sorted(demand)}
     scale = slots / sum(weights.values()) if weights else 0.0
     offset = _offset(target)
     parts = {}
-    summed = 0.0
+    cumulative = 0.0
     before = 0
     for name, weight in weights.items():
-        summed += weight * scale
-        # The last sum is the whole, whatever the rounding of the floats.
-        after = min(slots, math.floor(summed + offset + 1e-9))
+        cumulative += weight * scale
+        # min() and the correction below keep the sum equal to `slots`
+        # despite floating-point rounding.
+        after = min(slots, math.floor(cumulative + offset + 1e-9))
         parts[name] = after - before
         before = after
     if parts:
@@ -70,7 +78,7 @@
 
 
 class TargetShares:
-    """The shares of one target.
+    """Shares of one target, by incarnation of the entry host.
 
     Args:
         target: Id of the target.
@@ -94,11 +102,11 @@
         return found
 
     def counted(self) -> int:
-        """Return the slots that count as taken by all."""
+        """Return the number of slots taken by all holders together."""
         return sum(share.counted() for share in self.shares.values())
 
     def end_quarantines(self, *, now_s: float) -> None:
-        """Forget the shares whose slots are free by now.
+        """Remove the shares whose slots are free by now.
 
         Args:
             now_s: Monotonic time in seconds.
@@ -114,13 +122,14 @@
     def allot(self, *, holder: str, fair: int, free: int) -> int:
         """Set a holder's grant and return it.
 
-        It rises only by what is free. It sinks only to a whole slot or
-        more below, so that demand that wavers moves nothing.
+        A grant grows by no more than the free slots. It shrinks only when
+        the fair share is at least one whole slot lower, so that small
+        fluctuations of demand move no slots.
 
         Args:
             holder: Incarnation of the entry host.
-            fair: Slots that it should have.
-            free: Slots of the target that nobody holds.
+            fair: Slots of the holder's fair share.
+            free: Slots of the target that no entry host holds.
         """
         share = self.share(holder)
         now = share.counted()
--- a/wisteriawood/machines/transitions.py
+++ b/wisteriawood/machines/transitions.py
@@ -1,7 +1,7 @@
-"""Changes of a task's state, each one change of the group commit.
+"""Task state transitions, each submitted as one change to the group commit.
 
-Every change is conditional on the rack's row, so on the epoch under which
-the rack is held, and on the version of the task's own row.
+Every change is conditional on the rack's row, and thereby on the epoch under
+which the rack is held, and on the version of the task's own row.
 """
 
 import dataclasses
@@ -26,7 +26,7 @@
 _LOG = events.Logger(name=__name__)
 
 
-def _move(old_key: str, new_key: str, task: tasks.Task) -> list:
+def _move_writes(old_key: str, new_key: str, task: tasks.Task) -> list:
     return [
         platforms.Write(key=old_key),
         platforms.Write(key=new_key, value=rows.to_value(task)),
@@ -43,17 +43,17 @@
     worker: workers.Worker,
     placement: workers.Placement,
 ) -> None:
-    """Commit that a waiting task gets a worker, under its next attempt.
+    """Commit the assignment of a waiting task, as its next attempt.
 
     Args:
         scheduler: The scheduler that holds the rack.
         rack: The rack.
-        worker: The worker, with the placement counted.
-        placement: The placement; its task is the waiting one.
+        worker: The worker; the placement already uses its resources.
+        placement: The placement of the waiting task.
 
     Raises:
-        TransactionConflictError: The task is placed, cancelled or changed,
-            or the rack is lost.
+        TransactionConflictError: The task was placed, cancelled or changed,
+            or the rack is no longer held.
         PlatformUnavailableError: Nothing was written.
     """
     before = placement.task
@@ -76,7 +76,7 @@
             platforms.Condition(key=old_key, version=placement.version),
             platforms.Condition(key=cancel_key, version=0),
         ],
-        writes=_move(old_key, new_key, task),
+        writes=_move_writes(old_key, new_key, task),
     )
     placement.task = task
     placement.is_committed = True
@@ -141,7 +141,7 @@
     placement: workers.Placement,
     **fields: typing.Any,
 ) -> None:
-    """Put a task whose attempt is proved stopped back into the queue.
+    """Put a task back into the queue once its attempt is known to have stopped.
 
     Args:
         scheduler: The scheduler that holds the rack.
@@ -157,7 +157,7 @@
     placement.is_ending = True
     old_key = _placed_key(scheduler, rack, placement)
     new_key = keys.pending(scheduler.zone, task.spec.id)
-    writes = _move(old_key, new_key, task)
+    writes = _move_writes(old_key, new_key, task)
     _submit(scheduler, rack, worker, placement, writes)
 
 
@@ -168,7 +168,9 @@
     placement: workers.Placement,
     **fields: typing.Any,
 ) -> None:
-    """End a task whose attempt is proved stopped, and any order to cancel.
+    """End a task whose attempt is known to have stopped.
+
+    A pending cancel request of the task is deleted in the same change.
 
     Args:
         scheduler: The scheduler that holds the rack.
@@ -183,34 +185,36 @@
     placement.changed = task
     placement.is_ending = True
     old_key = _placed_key(scheduler, rack, placement)
-    writes = _move(old_key, keys.ended(task.spec.id), task)
+    writes = _move_writes(old_key, keys.ended(task.spec.id), task)
     if placement.is_cancelled:
         cancel_key = keys.cancel(scheduler.zone, task.spec.id)
         writes.append(platforms.Write(key=cancel_key))
     _submit(scheduler, rack, worker, placement, writes)
 
 
-def vacate(
+def remove_from_worker(
     scheduler: "schedulers.Scheduler",
     rack: racks.Rack,
     worker: workers.Worker,
     placement: workers.Placement,
     reason: str,
 ) -> None:
-    """Take a task whose attempt is proved stopped from its worker.
+    """Remove a task from its worker once its attempt is known to have stopped.
+
+    A cancelled task ends; any other goes back into the queue.
 
     Args:
         scheduler: The scheduler that holds the rack.
         rack: The rack.
         worker: The worker.
         placement: The task on it.
-        reason: Why, for the operator.
+        reason: Reason shown to operators.
     """
-    where = (scheduler, rack, worker, placement)
+    args = (scheduler, rack, worker, placement)
     if placement.is_cancelled:
-        end(*where, state=tasks.TaskState.CANCELLED, reason="cancelled")
+        end(*args, state=tasks.TaskState.CANCELLED, reason="cancelled")
         return
-    requeue(*where, state=tasks.TaskState.EVICTED, reason=reason)
+    requeue(*args, state=tasks.TaskState.EVICTED, reason=reason)
 
 
 def fail(
@@ -220,7 +224,10 @@
     placement: workers.Placement,
     reason: str,
 ) -> None:
-    """Try a failed task elsewhere, or end it once it has failed enough.
+    """Requeue a failed task, or end it when it has no retries left.
+
+    It has none after MAX_FAILURES failed attempts, or failures on
+    MAX_FAILED_WORKERS different workers.
 
     Args:
         scheduler: The scheduler that holds the rack.
@@ -229,24 +236,24 @@
         placement: The task on it.
         reason: Why the attempt failed.
     """
-    where = (scheduler, rack, worker, placement)
+    args = (scheduler, rack, worker, placement)
     scheduler.placer.note_failure(placement.task.spec.id, worker.name)
     failures = [*placement.task.failures, worker.name]
     if placement.is_cancelled:
-        vacate(*where, reason)
+        remove_from_worker(*args, reason)
     elif (
         len(failures) >= MAX_FAILURES
         or len(set(failures)) >= MAX_FAILED_WORKERS
     ):
         end(
-            *where,
+            *args,
             state=tasks.TaskState.FAILED,
             failures=failures,
             reason=f"failed on {', '.join(sorted(set(failures)))}: {reason}",
         )
     else:
         requeue(
-            *where,
+            *args,
             state=tasks.TaskState.PENDING,
             failures=failures,
             reason=f"failed on {worker.name}: {reason}",
@@ -259,7 +266,7 @@
     worker: workers.Worker,
     placement: workers.Placement,
 ) -> None:
-    """Take in the outcome of a placement's change, if it is known.
+    """Apply the outcome of a placement's pending change, if it is known.
 
     Args:
         scheduler: The scheduler that holds the rack.
@@ -268,20 +275,20 @@
         placement: The task on it.
 
     Raises:
-        PlatformError: The row could not be read anew after a conflict.
+        PlatformError: The row could not be read again after a conflict.
     """
     change = placement.change
     if change is None or not change.done.is_set():
         return
     if isinstance(change.error, errors.TransactionConflictError):
-        await _read_anew(scheduler, rack, worker, placement)
+        await _reread_row(scheduler, rack, worker, placement)
     elif change.error is None:
-        _take_in(rack, worker, placement, change.version)
+        _apply_change(rack, worker, placement, change.version)
     placement.change = None
     placement.changed = None
 
 
-def _take_in(
+def _apply_change(
     rack: racks.Rack,
     worker: workers.Worker,
     placement: workers.Placement,
@@ -296,7 +303,7 @@
         rack.targets.pop(f"{task.spec.id}.{task.attempt}", None)
     if task.state == before.state:
         return
-    event = _EVENTS.get(task.state, events.TASK_ENDED)
+    event = _EVENT_BY_STATE.get(task.state, events.TASK_ENDED)
     _LOG.log(
         event,
         task=task.spec.id,
@@ -307,7 +314,7 @@
     )
 
 
-_EVENTS = {
+_EVENT_BY_STATE = {
     tasks.TaskState.PENDING: events.TASK_REQUEUED,
     tasks.TaskState.RUNNING: events.TASK_STARTED,
     tasks.TaskState.STOPPING: events.TASK_STOPPING,
@@ -315,7 +322,7 @@
 }
 
 
-async def _read_anew(
+async def _reread_row(
     scheduler: "schedulers.Scheduler",
     rack: racks.Rack,
     worker: workers.Worker,
@@ -330,7 +337,8 @@
         return
     task = rows.from_value(row.value, tasks.Task)
     if task.epoch > rack.holding.epoch:
-        # The next holder's; the rack is about to be found lost.
+        # The row belongs to the next holder of the rack; the next check of
+        # the racks will find this one lost.
         return
     placement.task = task
     placement.version = row.version
--- a/wisteriawood/tests/faults/proofs_tests.py
+++ b/wisteriawood/tests/faults/proofs_tests.py
@@ -1,4 +1,8 @@
-"""Proofs that each mechanism is needed: without it, an invariant breaks."""
+"""Checks that each mechanism is needed: without it, an invariant fails.
+
+Each test runs one fault twice: with all mechanisms, when no breach may be
+found, and with one mechanism disabled, when the expected breach must be.
+"""
 
 import contextlib
 import dataclasses
@@ -22,8 +26,15 @@
 from wisteriawood.zones import claims
 
 
-def run(fault, step, *, off=None, run_s=60.0):
-    """Run a cell with a mechanism off and return the breaches."""
+def run(fault, step, *, patch=None, run_s=60.0):
+    """Run a cell of the fault matrix and return the breaches found.
+
+    Args:
+        fault: Name of the fault.
+        step: Step of the task at which the fault is injected.
+        patch: Context manager that disables a mechanism, if any.
+        run_s: Run time of the tasks in seconds.
+    """
     found = []
 
     async def _check(world):
@@ -31,12 +42,12 @@
             await tasks_tests.run_cell(world, fault, step, run_s=run_s)
         )
 
-    with off or contextlib.nullcontext():
+    with patch or contextlib.nullcontext():
         builders.run_world(_check)
     return found
 
 
-def _never_late(**fields):
+def _start_without_time_limit(**fields):
     fields["not_after_s"] = math.inf
     return _start_command(**fields)
 
@@ -44,11 +55,11 @@
 _start_command = worker_links.StartCommand
 
 
-def _confirmed_only(scheduler, _rack):
+def _has_confirmed_term(scheduler, _rack):
     return scheduler.membership.is_confirmed()
 
 
-async def _assign_unwritten(_scheduler, rack, worker, placement):
+async def _assign_without_commit(_scheduler, rack, worker, placement):
     placement.task = dataclasses.replace(
         placement.task,
         state="assigned",
@@ -59,7 +70,7 @@
     placement.is_committed = True
 
 
-async def _commit_unsettled(platform, transaction):
+async def _commit_without_settling(platform, transaction):
     try:
         return await platform.commit(transaction)
     except errors.TransactionUnknownError as exc:
@@ -87,7 +98,7 @@
 _add = workers.Worker.add
 
 
-def _add_uncounted(worker, placement):
+def _add_without_counting(worker, placement):
     free = worker.free
     added = _add(worker, placement)
     if placement.is_adopted:
@@ -97,9 +108,9 @@
 
 
 @contextlib.contextmanager
-def _count_nothing_adopted():
+def _adopted_tasks_not_counted():
     with (
-        mock.patch.object(workers.Worker, "add", _add_uncounted),
+        mock.patch.object(workers.Worker, "add", _add_without_counting),
         mock.patch.object(monitors.Monitor, "observe"),
     ):
         yield
@@ -108,12 +119,12 @@
 _record = transitions.record
 
 
-def _record_without_checkpoint(*where, **fields):
+def _record_without_checkpoint(*args, **fields):
     fields.pop("checkpoint", None)
-    _record(*where, **fields)
+    _record(*args, **fields)
 
 
-def _mark_and_forget(canceller, found):
+def _mark_and_delete_requests(canceller, found):
     for row in found:
         task_id = row.key.rsplit("/", 1)[1]
         canceller._scheduler.commits.submit(
@@ -127,16 +138,18 @@
 
 class ProofTests(unittest.TestCase):
 
-    def _check(self, fault, step, off, *, run_s=60.0, breach):
+    def _check(self, fault, step, patch, *, run_s=60.0, breach):
         self.assertEqual([], run(fault, step, run_s=run_s))
-        found = run(fault, step, off=off, run_s=run_s)
+        found = run(fault, step, patch=patch, run_s=run_s)
         self.assertIn(breach, " ".join(found))
 
     def test_start_commands_lapse(self):
         self._check(
             "commands delayed past a takeover",
             "assigned",
-            mock.patch.object(worker_links, "StartCommand", _never_late),
+            mock.patch.object(
+                worker_links, "StartCommand", _start_without_time_limit
+            ),
             breach="while",
         )
 
@@ -162,7 +175,7 @@
             "scheduler cut off 30 s, then far from the platform",
             "assigned",
             mock.patch.object(
-                schedulers.Scheduler, "has_authority", _confirmed_only
+                schedulers.Scheduler, "has_authority", _has_confirmed_term
             ),
             breach="attempt 1 ran twice",
         )
@@ -171,7 +184,7 @@
         self._check(
             "entry host killed",
             "submitted",
-            mock.patch.object(transitions, "assign", _assign_unwritten),
+            mock.patch.object(transitions, "assign", _assign_without_commit),
             breach="ran twice",
         )
 
@@ -179,7 +192,7 @@
         self._check(
             "scheduler killed while more is submitted",
             "running",
-            _count_nothing_adopted(),
+            _adopted_tasks_not_counted(),
             breach="Resources",
         )
 
@@ -198,7 +211,7 @@
             "cancelled and scheduler killed",
             "running",
             mock.patch.object(
-                cancels.Canceller, "_cancel_placed", _mark_and_forget
+                cancels.Canceller, "_cancel_placed", _mark_and_delete_requests
             ),
             run_s=2000.0,
             breach="still runs",
@@ -208,7 +221,9 @@
         self._check(
             "20 acknowledgements lost",
             "submitted",
-            mock.patch.object(platforms, "commit_settled", _commit_unsettled),
+            mock.patch.object(
+                platforms, "commit_settled", _commit_without_settling
+            ),
             run_s=10.0,
             breach="has not ended",
         )
--- a/wisteriawood/tests/slots_tests.py
+++ b/wisteriawood/tests/slots_tests.py
@@ -1,4 +1,4 @@
-"""Slot contracts: demand, the terms and the way a target leaves."""
+"""Tests of slot grants: shares by demand, terms and takeovers."""
 
 import unittest
 
@@ -71,7 +71,7 @@
 
         builders.run_world(_check)
 
-    def test_lonely_entry_host_lets_go_within_the_term(self):
+    def test_isolated_entry_host_releases_slots_within_the_term(self):
         async def _check(world):
             await _zone(world)
             for name in NAMES:
@@ -84,7 +84,7 @@
 
         builders.run_world(_check)
 
-    def test_slots_outlive_grantors_without_the_platform(self):
+    def test_slots_stay_usable_until_the_horizon(self):
         async def _check(world):
             await _zone(world)
             world.platform.faults.down = True
