--- a/wisteriawood/machines/transitions.py
+++ b/wisteriawood/machines/transitions.py
@@ -141,7 +141,7 @@
     placement: workers.Placement,
     **fields: typing.Any,
 ) -> None:
-    """Put a task back into the queue once its attempt is known to have stopped.
+    """Requeue a task whose attempt is known to have ended.
 
     Args:
         scheduler: The scheduler that holds the rack.
@@ -168,7 +168,7 @@
     placement: workers.Placement,
     **fields: typing.Any,
 ) -> None:
-    """End a task whose attempt is known to have stopped.
+    """End a task whose attempt is known to have ended.
 
     A pending cancel request of the task is deleted in the same change.
 
@@ -199,7 +199,7 @@
     placement: workers.Placement,
     reason: str,
 ) -> None:
-    """Remove a task from its worker once its attempt is known to have stopped.
+    """Remove from its worker a task whose attempt is known to have ended.
 
     A cancelled task ends; any other goes back into the queue.
 
--- a/wisteriawood/tests/faults/proofs_tests.py
+++ b/wisteriawood/tests/faults/proofs_tests.py
@@ -143,7 +143,7 @@
         found = run(fault, step, patch=patch, run_s=run_s)
         self.assertIn(breach, " ".join(found))
 
-    def test_start_commands_lapse(self):
+    def test_start_commands_expire(self):
         self._check(
             "commands delayed past a takeover",
             "assigned",
@@ -153,7 +153,7 @@
             breach="while",
         )
 
-    def test_tasks_move_only_once_their_lease_lapsed(self):
+    def test_tasks_move_only_once_their_lease_expired(self):
         self._check(
             "worker cut off 40 s",
             "running",
@@ -170,7 +170,7 @@
             breach="while",
         )
 
-    def test_racks_are_verified_after_a_break_of_the_term(self):
+    def test_racks_are_verified_after_the_term_was_interrupted(self):
         self._check(
             "scheduler cut off 30 s, then far from the platform",
             "assigned",
