--- a/wisteriawood/machines/allocators.py
+++ b/wisteriawood/machines/allocators.py
@@ -22,23 +22,23 @@
 from wisteriawood.policies import sizes
 
 # Waiting time after which a worker is kept for a task that finds no room.
-RESERVE_AFTER_S = 30.0
+RESERVE_WORKER_AFTER_S = 30.0
 # Time after which the worker is given free for others again.
-RESERVATION_S = 300.0
+RESERVATION_TIMEOUT_S = 300.0
 # Share of the workers that may be kept for tasks.
-RESERVED_SHARE = 0.1
+MAX_RESERVED_SHARE = 0.1
 # Waiting time after which a team takes back what others have borrowed.
-RECLAIM_AFTER_S = 10.0
-RECLAIMS_PER_ROUND = 4
-MEMO_SIZE = 16
+RECLAIM_SHARE_AFTER_S = 10.0
+MAX_RECLAIMS_PER_ROUND = 4
+MAX_CACHED_FAILURES = 16
 # Waiting time after which a job that would do harm anywhere starts
 # throttled, and the share that it starts with.
-THROTTLED_AFTER_S = 60.0
-THROTTLED_SHARE = 0.25
+START_THROTTLED_AFTER_S = 60.0
+THROTTLED_START_SHARE = 0.25
 # Waiting time after which a job that would do harm anywhere starts
 # throttled, and the share that it starts with.
-THROTTLED_AFTER_S = 60.0
-THROTTLED_SHARE = 0.25
+START_THROTTLED_AFTER_S = 60.0
+THROTTLED_START_SHARE = 0.25
 # Tasks of a class not yet known that may run unmeasured, and the time after
 # which one counts as measured though no report came.
 MAX_PROBES = 8
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Failure:
+class PlacementFailure:
     """A need that found no worker in this round.
 
     Attributes:
@@ -70,11 +70,11 @@
 
     needs: resources.Resources
     reason: str
-    is_short: bool = True
+    lacks_capacity: bool = True
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Choice:
+class WorkerChoice:
     """Where a task can start.
 
     Attributes:
@@ -99,8 +99,8 @@
     """
 
     __slots__ = (
-        "_failures",
-        "_reclaims",
+        "_cached_failures",
+        "_reclaim_count",
         "estimates",
         "evictions",
         "index",
@@ -144,8 +144,8 @@
                 rng=rng, team_quotas=self.quotas
             ),
         )
-        self._failures: dict[str, list[Failure]] = {}
-        self._reclaims = 0
+        self._cached_failures: dict[str, list[PlacementFailure]] = {}
+        self._reclaim_count = 0
         self.zone_capacity = resources.NOTHING
 
     def refresh(
@@ -158,7 +158,7 @@
             now_s: Monotonic time in seconds.
         """
         self.index.refresh(found, now_s=now_s)
-        for name in self.probations.names():
+        for name in self.probations.workers_with_failures():
             entry = self.index.entries.get(name)
             if entry is not None:
                 entry.is_blocked = self.probations.is_on_probation(name, now_s)
@@ -173,16 +173,16 @@
         Returns:
             The decisions; their tasks no longer wait.
         """
-        self._failures = {}
-        self._reclaims = 0
-        self.evictions.settle(now_s=now_s)
+        self._cached_failures = {}
+        self._reclaim_count = 0
+        self.evictions.expire_orders(now_s=now_s)
         starts: list[Start] = []
         for waiting in self.queue.urgent():
-            if not self._try(waiting, starts, now_s):
-                self._make_room(waiting, now_s)
+            if not self._try_to_start(waiting, starts, now_s):
+                self._evict_for(waiting, now_s)
         for waiting in self.queue.by_share(self._weighted_share):
-            if not self._try(waiting, starts, now_s):
-                self._help(waiting, now_s)
+            if not self._try_to_start(waiting, starts, now_s):
+                self._reclaim_or_reserve(waiting, now_s)
         return starts
 
     def withdraw(self, task: str) -> None:
@@ -192,8 +192,8 @@
             task: Id of the task.
         """
         waiting = self.queue.discard(task)
-        if waiting is not None and waiting.reserved:
-            self.index.reserve(waiting.reserved, "")
+        if waiting is not None and waiting.reserved_worker:
+            self.index.reserve(waiting.reserved_worker, "")
 
     def keep_only(self, placed: set[str]) -> None:
         """Forget the tasks that have left.
@@ -204,7 +204,7 @@
         self.evictions.keep_only(placed)
         self.probes.keep_only(placed)
 
-    def needs_of(self, spec: tasks.TaskSpec) -> resources.Resources:
+    def predict_needs(self, spec: tasks.TaskSpec) -> resources.Resources:
         """Return what a task is counted with.
 
         Args:
@@ -213,25 +213,25 @@
         return self.sizes.predict(indexes.class_of(spec), spec.needs)
 
     def _weighted_share(self, team: str) -> float:
-        return self.index.share(team) / self.quotas.of(team).weight
+        return self.index.team_share(team) / self.quotas.of(team).weight
 
-    def _try(
-        self, waiting: queues.Waiting, starts: list[Start], now_s: float
+    def _try_to_start(
+        self, waiting: queues.WaitingTask, starts: list[Start], now_s: float
     ) -> bool:
         spec = waiting.task.spec
-        if now_s - waiting.since_s < waiting.turn_s:
+        if now_s - waiting.since_s < waiting.min_wait_s:
             waiting.reason = "another scheduler of the zone comes first"
             return False
-        needs = self.needs_of(spec)
+        needs = self.predict_needs(spec)
         if not self._is_within_limit(spec.team, needs):
-            waiting.is_short = False
+            waiting.lacks_capacity = False
             waiting.reason = f"team {spec.team} is at the limit of its quota"
             return False
         if not self.probes.may_start(spec, now_s=now_s):
-            waiting.is_short = False
+            waiting.lacks_capacity = False
             waiting.reason = "the first tasks of its class are being measured"
             return False
-        choice = self._find(waiting, needs, now_s)
+        choice = self._find_worker(waiting, needs, now_s)
         if choice is None:
             return False
         self._start(waiting, choice, needs, starts, now_s)
@@ -248,7 +248,7 @@
             return True
         if not needs.fits(limit):
             return False
-        part = indexes.share_of(self.index.capacity, self.zone_capacity)
+        part = indexes.dominant_share(self.index.capacity, self.zone_capacity)
         part = min(1.0, part or 1.0)
         used = self.index.team_used.get(team, resources.NOTHING)
         total = used + needs
@@ -258,55 +258,64 @@
             and total.accelerators <= limit.accelerators * part
         )
 
-    def _find(
-        self, waiting: queues.Waiting, needs: resources.Resources, now_s: float
-    ) -> Choice | None:
+    def _find_worker(
+        self,
+        waiting: queues.WaitingTask,
+        needs: resources.Resources,
+        now_s: float,
+    ) -> WorkerChoice | None:
         spec = waiting.task.spec
-        waiting.is_short = False
-        kept = self._reserved_entry(waiting, now_s)
-        if kept is None:
-            failure = self._known_failure(spec, needs)
+        waiting.lacks_capacity = False
+        reserved = self._reserved_entry(waiting, now_s)
+        if reserved is None:
+            failure = self._find_cached_failure(spec, needs)
             if failure is not None:
                 waiting.reason = failure.reason
-                waiting.is_short = failure.is_short
+                waiting.lacks_capacity = failure.lacks_capacity
                 return None
-        elif not needs.fits(kept.worker.free):
-            waiting.reason = f"waits for room on worker {waiting.reserved}"
+        elif not needs.fits(reserved.worker.free):
+            waiting.reason = (
+                f"waits for room on worker {waiting.reserved_worker}"
+            )
             return None
         request = placement_base.Request(
             spec=spec,
             needs=needs,
-            among=None if kept is None else [kept],
-            avoid=self._avoided(waiting),
+            among=None if reserved is None else [reserved],
+            avoid=self._workers_to_avoid(waiting),
             now_s=now_s,
             waited_s=now_s - waiting.since_s,
         )
         try:
-            return self._choose(request)
+            return self._choose_worker(request)
         except placement_base.NoRoomError as exc:
-            waiting.is_short = True
-            self._remember("", Failure(needs=needs, reason=str(exc)))
+            waiting.lacks_capacity = True
+            self._cache_failure(
+                "", PlacementFailure(needs=needs, reason=str(exc))
+            )
             waiting.reason = str(exc)
         except placement_base.HarmError as exc:
-            failure = Failure(needs=needs, reason=str(exc), is_short=False)
-            self._remember(indexes.class_of(spec), failure)
+            failure = PlacementFailure(
+                needs=needs, reason=str(exc), lacks_capacity=False
+            )
+            self._cache_failure(indexes.class_of(spec), failure)
             waiting.reason = str(exc)
-            self._release(waiting)
+            self._release_reservation(waiting)
         return None
 
-    def _choose(self, request: placement_base.Request) -> Choice:
+    def _choose_worker(self, request: placement_base.Request) -> WorkerChoice:
         try:
             entry = self.placement.choose(request, self.index)
         except placement_base.HarmError:
-            if request.waited_s < THROTTLED_AFTER_S:
+            if request.waited_s < START_THROTTLED_AFTER_S:
                 raise
-            request.share = THROTTLED_SHARE
+            request.share = THROTTLED_START_SHARE
             entry = self.placement.choose(request, self.index)
-        return Choice(entry=entry, share=request.share)
+        return WorkerChoice(entry=entry, share=request.share)
 
-    def _avoided(self, waiting: queues.Waiting) -> set[str]:
+    def _workers_to_avoid(self, waiting: queues.WaitingTask) -> set[str]:
         task = waiting.task
-        avoided = self.probations.failed_on(task.spec.id)
+        avoided = self.probations.failed_workers(task.spec.id)
         avoided = avoided.union(task.failures)
         if len(avoided) >= len(self.index.entries):
             # It failed on every worker there is, so each may try again.
@@ -314,53 +323,53 @@
         return avoided
 
     def _reserved_entry(
-        self, waiting: queues.Waiting, now_s: float
+        self, waiting: queues.WaitingTask, now_s: float
     ) -> indexes.Entry | None:
-        if not waiting.reserved:
+        if not waiting.reserved_worker:
             return None
-        entry = self.index.entries.get(waiting.reserved)
-        is_kept = (
+        entry = self.index.entries.get(waiting.reserved_worker)
+        is_valid = (
             entry is not None
-            and entry.reserved == waiting.task.spec.id
+            and entry.reserved_for == waiting.task.spec.id
             and entry.worker.is_known
             and not entry.worker.leaving
-            and now_s - waiting.reserved_s < RESERVATION_S
+            and now_s - waiting.reserved_at_s < RESERVATION_TIMEOUT_S
         )
-        if is_kept:
+        if is_valid:
             return entry
-        self._release(waiting)
+        self._release_reservation(waiting)
         return None
 
-    def _release(self, waiting: queues.Waiting) -> None:
-        entry = self.index.entries.get(waiting.reserved)
-        if entry is not None and entry.reserved == waiting.task.spec.id:
-            self.index.reserve(waiting.reserved, "")
-        waiting.reserved = ""
+    def _release_reservation(self, waiting: queues.WaitingTask) -> None:
+        entry = self.index.entries.get(waiting.reserved_worker)
+        if entry is not None and entry.reserved_for == waiting.task.spec.id:
+            self.index.reserve(waiting.reserved_worker, "")
+        waiting.reserved_worker = ""
 
-    def _known_failure(
+    def _find_cached_failure(
         self, spec: tasks.TaskSpec, needs: resources.Resources
-    ) -> Failure | None:
+    ) -> PlacementFailure | None:
         for key in ("", indexes.class_of(spec)):
-            for failure in self._failures.get(key, ()):
+            for failure in self._cached_failures.get(key, ()):
                 if failure.needs.fits(needs):
                     return failure
         return None
 
-    def _remember(self, key: str, failure: Failure) -> None:
-        failures = self._failures.setdefault(key, [])
-        if len(failures) < MEMO_SIZE:
+    def _cache_failure(self, key: str, failure: PlacementFailure) -> None:
+        failures = self._cached_failures.setdefault(key, [])
+        if len(failures) < MAX_CACHED_FAILURES:
             failures.append(failure)
 
     def _start(
         self,
-        waiting: queues.Waiting,
-        choice: Choice,
+        waiting: queues.WaitingTask,
+        choice: WorkerChoice,
         needs: resources.Resources,
         starts: list[Start],
         now_s: float,
     ) -> None:
-        if waiting.reserved:
-            self._release(waiting)
+        if waiting.reserved_worker:
+            self._release_reservation(waiting)
         self.queue.discard(waiting.task.spec.id)
         entry = choice.entry
         placement = workers.Placement(
@@ -373,50 +382,57 @@
             # Its last attempt still counts on this very worker.
             return
         self.probes.start(placement.task.spec, now_s=now_s)
-        self.evictions.note_start(waiting.task.spec.id, now_s=now_s)
+        self.evictions.record_start(waiting.task.spec.id, now_s=now_s)
         self.index.update(entry.worker, now_s=now_s)
         starts.append(Start(worker=entry.worker, placement=placement))
 
-    def _help(self, waiting: queues.Waiting, now_s: float) -> None:
+    def _reclaim_or_reserve(
+        self, waiting: queues.WaitingTask, now_s: float
+    ) -> None:
         """Keep a worker for a task that has waited for room too long."""
         waited_s = now_s - waiting.since_s
-        if waiting.reserved or waited_s < RECLAIM_AFTER_S:
+        if waiting.reserved_worker or waited_s < RECLAIM_SHARE_AFTER_S:
             return
-        if not waiting.is_short:
+        if not waiting.lacks_capacity:
             return
-        if self._reclaims < RECLAIMS_PER_ROUND and self._is_owed(waiting):
-            self._reclaims += 1
-            if self._make_room(waiting, now_s):
+        if (
+            self._reclaim_count < MAX_RECLAIMS_PER_ROUND
+            and self._is_within_fair_share(waiting)
+        ):
+            self._reclaim_count += 1
+            if self._evict_for(waiting, now_s):
                 return
-        if waited_s >= RESERVE_AFTER_S and self._may_reserve():
-            self._keep_worker(waiting, now_s)
+        if waited_s >= RESERVE_WORKER_AFTER_S and self._can_reserve():
+            self._reserve_soonest_free(waiting, now_s)
 
     def _fair_share(self, team: str) -> float:
         teams = {team, *self.index.team_used, *self.queue.teams()}
         total = sum(self.quotas.of(name).weight for name in teams)
         return self.quotas.of(team).weight / total
 
-    def _is_owed(self, waiting: queues.Waiting) -> bool:
+    def _is_within_fair_share(self, waiting: queues.WaitingTask) -> bool:
         spec = waiting.task.spec
-        added = indexes.share_of(self.needs_of(spec), self.index.capacity)
-        share = self.index.share(spec.team) + added
+        added = indexes.dominant_share(
+            self.predict_needs(spec), self.index.capacity
+        )
+        share = self.index.team_share(spec.team) + added
         return share <= self._fair_share(spec.team)
 
     def _is_over_share(self, team: str) -> bool:
-        return self.index.share(team) > self._fair_share(team)
+        return self.index.team_share(team) > self._fair_share(team)
 
-    def _make_room(self, waiting: queues.Waiting, now_s: float) -> bool:
-        if waiting.reserved:
+    def _evict_for(self, waiting: queues.WaitingTask, now_s: float) -> bool:
+        if waiting.reserved_worker:
             return True
-        if now_s - waiting.since_s < 2 * waiting.turn_s:
+        if now_s - waiting.since_s < 2 * waiting.min_wait_s:
             return False
         spec = waiting.task.spec
         plan = self.evictions.plan(
-            needs=self.needs_of(spec),
+            needs=self.predict_needs(spec),
             now_s=now_s,
             over_share=self._is_over_share,
             only_over_share=not spec.urgent,
-            avoid=self._avoided(waiting),
+            avoid=self._workers_to_avoid(waiting),
         )
         if plan is None:
             return False
@@ -428,18 +444,24 @@
         return True
 
     def _reserve(
-        self, waiting: queues.Waiting, entry: indexes.Entry, now_s: float
+        self, waiting: queues.WaitingTask, entry: indexes.Entry, now_s: float
     ) -> None:
-        waiting.reserved = entry.worker.name
-        waiting.reserved_s = now_s
+        waiting.reserved_worker = entry.worker.name
+        waiting.reserved_at_s = now_s
         self.index.reserve(entry.worker.name, waiting.task.spec.id)
 
-    def _may_reserve(self) -> bool:
-        kept = sum(bool(w.reserved) for w in self.queue.waiting.values())
-        return kept < max(1, int(RESERVED_SHARE * len(self.index.entries)))
+    def _can_reserve(self) -> bool:
+        reserved = sum(
+            bool(w.reserved_worker) for w in self.queue.waiting.values()
+        )
+        return reserved < max(
+            1, int(MAX_RESERVED_SHARE * len(self.index.entries))
+        )
 
-    def _keep_worker(self, waiting: queues.Waiting, now_s: float) -> None:
-        needs = self.needs_of(waiting.task.spec)
-        entry = self.evictions.soonest(needs)
+    def _reserve_soonest_free(
+        self, waiting: queues.WaitingTask, now_s: float
+    ) -> None:
+        needs = self.predict_needs(waiting.task.spec)
+        entry = self.evictions.find_soonest_free(needs)
         if entry is not None:
             self._reserve(waiting, entry, now_s)
--- a/wisteriawood/machines/evictions.py
+++ b/wisteriawood/machines/evictions.py
@@ -11,11 +11,11 @@
 from wisteriawood.telemetry import events
 
 # Workers that are looked at for one plan.
-SAMPLE = 24
+SAMPLE_SIZE = 24
 # An eviction that has no effect for this long is ordered again.
-ORDER_AGAIN_S = 20.0
+ORDER_TIMEOUT_S = 20.0
 # Cost of the eviction of a job whose team uses more than its share.
-OVER_SHARE_FACTOR = 0.25
+OVER_SHARE_COST_FACTOR = 0.25
 
 _LOG = events.Logger(name=__name__)
 
@@ -59,7 +59,7 @@
         self._ordered_s: dict[str, float] = {}
         self._started_s: dict[str, float] = {}
 
-    def note_start(self, task: str, *, now_s: float) -> None:
+    def record_start(self, task: str, *, now_s: float) -> None:
         """Record when a task was placed.
 
         Args:
@@ -78,7 +78,7 @@
             for task in known.keys() - placed:
                 del known[task]
 
-    def settle(self, *, now_s: float) -> None:
+    def expire_orders(self, *, now_s: float) -> None:
         """Forget orders that had no effect, so that they are given again.
 
         Args:
@@ -87,7 +87,7 @@
         self._ordered_s = {
             task: at_s
             for task, at_s in self._ordered_s.items()
-            if now_s - at_s < ORDER_AGAIN_S
+            if now_s - at_s < ORDER_TIMEOUT_S
         }
 
     def is_ordered(self, task: str) -> bool:
@@ -146,7 +146,7 @@
             avoid: Workers on which the task failed.
         """
         best = None
-        for entry in self._index.any_workers(SAMPLE):
+        for entry in self._index.sample_any(SAMPLE_SIZE):
             if entry.worker.name in avoid:
                 continue
             if not needs.fits(entry.worker.capacity):
@@ -169,24 +169,26 @@
         over_share: typing.Callable[[str], bool],
     ) -> Plan | None:
         free = entry.worker.free
-        taken: list[base.Victim] = []
+        chosen: list[base.Victim] = []
         for victim in victims:
             if needs.fits(free):
                 break
-            taken.append(victim)
+            chosen.append(victim)
             free = free + victim.counted
         if not needs.fits(free):
             return None
         # What was taken first may not be needed beside what came later.
-        for victim in list(taken):
+        for victim in list(chosen):
             if needs.fits(free - victim.counted):
-                taken.remove(victim)
+                chosen.remove(victim)
                 free = free - victim.counted
         cost = 0.0
-        for victim in taken:
-            factor = OVER_SHARE_FACTOR if over_share(victim.spec.team) else 1
+        for victim in chosen:
+            factor = (
+                OVER_SHARE_COST_FACTOR if over_share(victim.spec.team) else 1
+            )
             cost += factor * self._policy.cost(victim)
-        return Plan(entry=entry, victims=taken, cost=cost)
+        return Plan(entry=entry, victims=chosen, cost=cost)
 
     def order(self, plan: Plan, *, reason: str, now_s: float) -> None:
         """Order the evictions of a plan.
@@ -237,14 +239,16 @@
         self.order(plan, reason=reason, now_s=now_s)
         return True
 
-    def soonest(self, needs: resources.Resources) -> indexes.Entry | None:
+    def find_soonest_free(
+        self, needs: resources.Resources
+    ) -> indexes.Entry | None:
         """Return a worker that will have room once its batch jobs end.
 
         Args:
             needs: The room.
         """
         best, most = None, -1.0
-        for entry in self._index.any_workers(SAMPLE):
+        for entry in self._index.sample_any(SAMPLE_SIZE):
             worker = entry.worker
             free = worker.free
             for placement in worker.placements.values():
--- a/wisteriawood/machines/indexes.py
+++ b/wisteriawood/machines/indexes.py
@@ -12,10 +12,10 @@
 from wisteriawood.policies import interference
 
 # Two levels of free cores and one of free memory to each doubling.
-CORE_LEVELS = 2.0
+CORE_LEVELS_PER_DOUBLING = 2.0
 MEMORY_UNIT_BYTES = 2**28
 # Workers looked at whose level is the one that the need itself falls in.
-EDGE_TRIES = 48
+BORDERLINE_SAMPLE_SIZE = 48
 
 Level = tuple[int, int, int]
 
@@ -33,7 +33,9 @@
     return f"{spec.kind.value}/{class_of(spec)}"
 
 
-def share_of(used: resources.Resources, total: resources.Resources) -> float:
+def dominant_share(
+    used: resources.Resources, total: resources.Resources
+) -> float:
     """Return the dominant share that an amount is of a total."""
     return max(
         used.cores / total.cores if total.cores else 0.0,
@@ -52,7 +54,7 @@
     cores = max(amount.cores, 0.125)
     memory = max(amount.memory_bytes / MEMORY_UNIT_BYTES, 1.0)
     return (
-        rounding(CORE_LEVELS * math.log2(cores)),
+        rounding(CORE_LEVELS_PER_DOUBLING * math.log2(cores)),
         rounding(math.log2(memory)),
         min(max(amount.accelerators, 0), 8),
     )
@@ -66,7 +68,7 @@
         worker: The worker.
         free: What it had free when it was last looked at.
         level: Key of its bucket; None while it is in no bucket.
-        place: Its place in the bucket.
+        position: Its position in the bucket.
         reserved: Task that it is kept for; empty if for none.
         used: What each team uses of it.
         groups: Instances of each group on it.
@@ -80,8 +82,8 @@
     worker: workers.Worker
     free: resources.Resources | None = None
     level: Level | None = None
-    place: int = 0
-    reserved: str = ""
+    position: int = 0
+    reserved_for: str = ""
     used: dict[str, resources.Resources] = dataclasses.field(
         default_factory=dict
     )
@@ -172,8 +174,8 @@
         if entry.free is not worker.free:
             entry.free = worker.free
             entry.changed_s = now_s
-            self._count(entry)
-        self._file(entry)
+            self._update_usage(entry)
+        self._update_bucket(entry)
         return entry
 
     def remove(self, name: str) -> None:
@@ -185,37 +187,39 @@
         entry = self.entries.pop(name, None)
         if entry is None:
             return
-        self._unfile(entry)
-        self._uncount(entry)
+        self._remove_from_bucket(entry)
+        self._subtract_usage(entry)
         self.capacity = self.capacity - entry.worker.capacity
 
-    def _file(self, entry: Entry) -> None:
+    def _update_bucket(self, entry: Entry) -> None:
         worker = entry.worker
-        takes = worker.is_known and not worker.leaving
-        takes = takes and not entry.reserved and not entry.is_blocked
-        level = _levels(entry.free, math.floor) if takes else None
+        accepts_tasks = worker.is_known and not worker.leaving
+        accepts_tasks = (
+            accepts_tasks and not entry.reserved_for and not entry.is_blocked
+        )
+        level = _levels(entry.free, math.floor) if accepts_tasks else None
         if level == entry.level:
             return
-        self._unfile(entry)
+        self._remove_from_bucket(entry)
         if level is not None:
             bucket = self._buckets.setdefault(level, [])
-            entry.level, entry.place = level, len(bucket)
+            entry.level, entry.position = level, len(bucket)
             bucket.append(entry)
 
-    def _unfile(self, entry: Entry) -> None:
+    def _remove_from_bucket(self, entry: Entry) -> None:
         if entry.level is None:
             return
         bucket = self._buckets[entry.level]
         last = bucket.pop()
         if last is not entry:
-            bucket[entry.place] = last
-            last.place = entry.place
+            bucket[entry.position] = last
+            last.position = entry.position
         if not bucket:
             del self._buckets[entry.level]
         entry.level = None
 
-    def _count(self, entry: Entry) -> None:
-        self._uncount(entry)
+    def _update_usage(self, entry: Entry) -> None:
+        self._subtract_usage(entry)
         rack = entry.worker.rack
         for placement in entry.worker.placements.values():
             spec = placement.task.spec
@@ -232,7 +236,7 @@
             key = (rack, group)
             self.rack_groups[key] = self.rack_groups.get(key, 0) + count
 
-    def _uncount(self, entry: Entry) -> None:
+    def _subtract_usage(self, entry: Entry) -> None:
         for team, used in entry.used.items():
             self.team_used[team] = self.team_used[team] - used
         for group, count in entry.groups.items():
@@ -254,25 +258,25 @@
         """
         entry = self.entries.get(name)
         if entry is not None:
-            entry.reserved = task
-            self._file(entry)
+            entry.reserved_for = task
+            self._update_bucket(entry)
 
-    def recount(self, entry: Entry) -> None:
+    def refresh_usage(self, entry: Entry) -> None:
         """Take over that the tasks of a worker were throttled.
 
         Args:
             entry: The worker's entry.
         """
-        self._count(entry)
+        self._update_usage(entry)
 
-    def share(self, team: str) -> float:
+    def team_share(self, team: str) -> float:
         """Return the dominant share that a team uses.
 
         Args:
             team: Name of the team.
         """
         used = self.team_used.get(team, resources.NOTHING)
-        return share_of(used, self.capacity)
+        return dominant_share(used, self.capacity)
 
     def sample(self, needs: resources.Resources, count: int) -> list[Entry]:
         """Return random workers that can hold an amount.
@@ -282,20 +286,20 @@
             count: Most workers to return.
         """
         wanted = _levels(needs, math.ceil)
-        edge = _levels(needs, math.floor)
-        sure: list[list[Entry]] = []
-        near: list[list[Entry]] = []
+        minimum = _levels(needs, math.floor)
+        certain: list[list[Entry]] = []
+        borderline: list[list[Entry]] = []
         for level, bucket in self._buckets.items():
             if level[2] < wanted[2]:
                 continue
             if level[0] >= wanted[0] and level[1] >= wanted[1]:
-                sure.append(bucket)
-            elif level[0] >= edge[0] and level[1] >= edge[1]:
-                near.append(bucket)
-        found = self._draw(sure, needs, count)
+                certain.append(bucket)
+            elif level[0] >= minimum[0] and level[1] >= minimum[1]:
+                borderline.append(bucket)
+        found = self._draw(certain, needs, count)
         if len(found) < count:
-            tried = self._draw(near, needs, EDGE_TRIES)
-            found += tried[: count - len(found)]
+            extra = self._draw(borderline, needs, BORDERLINE_SAMPLE_SIZE)
+            found += extra[: count - len(found)]
         return found
 
     def _draw(
@@ -314,19 +318,19 @@
         else:
             drawn = []
             for number in self._rng.sample(range(total), count):
-                place = bisect.bisect_right(ends, number)
-                start = ends[place - 1] if place else 0
-                drawn.append(buckets[place][number - start])
+                position = bisect.bisect_right(ends, number)
+                start = ends[position - 1] if position else 0
+                drawn.append(buckets[position][number - start])
         # A worker may hold more by now than when it was filed.
         return [entry for entry in drawn if needs.fits(entry.worker.free)]
 
-    def any_workers(self, count: int) -> list[Entry]:
+    def sample_any(self, count: int) -> list[Entry]:
         """Return random workers that take tasks, full or not.
 
         Args:
             count: Most workers to return.
         """
-        return self._draw(list(self._buckets.values()), _NO_BOUND, count)
+        return self._draw(list(self._buckets.values()), _ANY_AMOUNT, count)
 
     def fitting(self, needs: resources.Resources) -> list[Entry]:
         """Return all workers that can hold an amount, by a scan.
@@ -341,6 +345,6 @@
         ]
 
 
-_NO_BOUND = resources.Resources(
+_ANY_AMOUNT = resources.Resources(
     cores=-math.inf, memory_bytes=-(2**62), accelerators=-(2**30)
 )
--- a/wisteriawood/machines/monitors.py
+++ b/wisteriawood/machines/monitors.py
@@ -20,17 +20,17 @@
 
 # Usage reports of a worker whose tasks changed more lately than this are
 # not learned from: they lag, and tell of other neighbours.
-LEARN_AFTER_S = 5.0
+SETTLING_TIME_S = 5.0
 LATENCY_VALID_S = 5.0
-SMOOTHING = 0.4
+SLOWDOWN_SMOOTHING = 0.4
 # A task that runs is counted with its use and this margin.
-USE_MARGIN = 1.1
+MEMORY_MARGIN = 1.1
 # Changes smaller than this share of the worker are not taken over.
-RECOUNT_SHARE = 0.01
+MIN_CORES_CHANGE_SHARE = 0.01
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Track:
+class TaskObservations:
     """What was seen of one attempt.
 
     Attributes:
@@ -58,7 +58,7 @@
         throttling: Name of the throttling policy.
     """
 
-    __slots__ = ("_allocator", "_throttling", "_tracks")
+    __slots__ = ("_allocator", "_throttling", "_observations")
 
     def __init__(
         self,
@@ -69,10 +69,10 @@
         registry.load_modules(throttling_policies)
         self._allocator = allocator
         self._throttling = base.THROTTLING.get(throttling)()
-        self._tracks: dict[str, Track] = {}
+        self._observations: dict[str, TaskObservations] = {}
 
     def __len__(self) -> int:
-        return len(self._tracks)
+        return len(self._observations)
 
     def observe_latency(
         self, task: str, *, slowdown: float, now_s: float
@@ -84,9 +84,9 @@
             slowdown: Its latency against its peers under equal load.
             now_s: Monotonic time in seconds.
         """
-        track = self._tracks.setdefault(task, Track())
-        track.latency_slowdown = slowdown
-        track.latency_s = now_s
+        observed = self._observations.setdefault(task, TaskObservations())
+        observed.latency_slowdown = slowdown
+        observed.latency_s = now_s
 
     def keep_only(self, placed: set[str]) -> None:
         """Forget the tasks that have left.
@@ -94,8 +94,8 @@
         Args:
             placed: Ids of the tasks that are on workers.
         """
-        for task in self._tracks.keys() - placed:
-            del self._tracks[task]
+        for task in self._observations.keys() - placed:
+            del self._observations[task]
         self._allocator.keep_only(placed)
 
     def observe(
@@ -114,43 +114,48 @@
         """
         index = self._allocator.index
         entry = index.update(worker, now_s=now_s)
-        is_settled = now_s - entry.changed_s >= LEARN_AFTER_S
+        is_stable = now_s - entry.changed_s >= SETTLING_TIME_S
         for report in reports:
             placement = worker.placements.get(report.task)
             if placement is None:
                 continue
-            track = self._tracks.setdefault(report.task, Track())
-            if report.measured_s == track.measured_s:
+            observed = self._observations.setdefault(
+                report.task, TaskObservations()
+            )
+            if report.measured_s == observed.measured_s:
                 continue
-            track.measured_s = report.measured_s
-            self._learn_size(placement, track, report)
+            observed.measured_s = report.measured_s
+            self._learn_size(placement, observed, report)
             self._learn_slowdown(
-                entry, placement, track, report, is_settled, now_s
+                entry, placement, observed, report, is_stable, now_s
             )
-        self._recount(entry, now_s)
+        self._update_counted(entry, now_s)
         entry.pressures.clear()
-        self._control(entry, now_s)
+        self._limit_interference(entry, now_s)
 
     def _learn_size(
         self,
         placement: workers.Placement,
-        track: Track,
+        observed: TaskObservations,
         report: worker_links.UsageReport,
     ) -> None:
         if placement.throttle < 1.0:
             return
-        used, peak = report.used, track.peak
-        track.peak = resources.Resources(
+        used, peak = report.used, observed.peak
+        observed.peak = resources.Resources(
             cores=max(used.cores, peak.cores),
             memory_bytes=max(used.memory_bytes, peak.memory_bytes),
             accelerators=placement.counted.accelerators,
         )
-        track.reports += 1
+        observed.reports += 1
         # Long runs teach less and less: at 2, 4, 8, ... reports.
-        if track.reports > 1 and track.reports & (track.reports - 1) == 0:
+        if (
+            observed.reports > 1
+            and observed.reports & (observed.reports - 1) == 0
+        ):
             spec = placement.task.spec
             self._allocator.sizes.observe(
-                indexes.class_of(spec), declared=spec.needs, used=track.peak
+                indexes.class_of(spec), declared=spec.needs, used=observed.peak
             )
             self._allocator.probes.finish(spec)
 
@@ -158,48 +163,48 @@
         self,
         entry: indexes.Entry,
         placement: workers.Placement,
-        track: Track,
+        observed: TaskObservations,
         report: worker_links.UsageReport,
-        is_settled: bool,
+        is_stable: bool,
         now_s: float,
     ) -> None:
         slowdown = 0.0
         if report.speed > 0:
             slowdown = max(1.0, placement.throttle / report.speed)
-        if now_s - track.latency_s < LATENCY_VALID_S:
-            slowdown = track.latency_slowdown
+        if now_s - observed.latency_s < LATENCY_VALID_S:
+            slowdown = observed.latency_slowdown
         if not slowdown:
             return
-        old = track.slowdown or slowdown
-        track.slowdown = old + SMOOTHING * (slowdown - old)
-        if is_settled:
+        old = observed.slowdown or slowdown
+        observed.slowdown = old + SLOWDOWN_SMOOTHING * (slowdown - old)
+        if is_stable:
             name = indexes.class_of(placement.task.spec)
             self._allocator.estimates.observe(
                 name,
-                others_than(entry, placement),
+                neighbours_of(entry, placement),
                 slowdown=slowdown,
                 now_s=now_s,
             )
 
-    def _recount(self, entry: indexes.Entry, now_s: float) -> None:
+    def _update_counted(self, entry: indexes.Entry, now_s: float) -> None:
         """Count tasks with what they use, where that is known better."""
         worker = entry.worker
-        least = RECOUNT_SHARE * worker.capacity.cores
+        least = MIN_CORES_CHANGE_SHARE * worker.capacity.cores
         for task_id, placement in list(worker.placements.items()):
-            track = self._tracks.get(task_id)
-            if track is None or track.reports < 2:
+            observed = self._observations.get(task_id)
+            if observed is None or observed.reports < 2:
                 continue
-            learned = self._allocator.needs_of(placement.task.spec)
+            learned = self._allocator.predict_needs(placement.task.spec)
             old = placement.counted
             # The margin must fit into what is free; the use itself counts
             # in any case.
             room_bytes = old.memory_bytes + max(0, worker.free.memory_bytes)
-            margin_bytes = int(track.peak.memory_bytes * USE_MARGIN)
+            margin_bytes = int(observed.peak.memory_bytes * MEMORY_MARGIN)
             wanted_bytes = max(learned.memory_bytes, margin_bytes)
             counted = resources.Resources(
-                cores=track.peak.cores,
+                cores=observed.peak.cores,
                 memory_bytes=max(
-                    track.peak.memory_bytes, min(wanted_bytes, room_bytes)
+                    observed.peak.memory_bytes, min(wanted_bytes, room_bytes)
                 ),
                 accelerators=old.accelerators,
             )
@@ -216,21 +221,23 @@
         self._allocator.index.update(worker, now_s=now_s)
         entry.changed_s = changed_s
         if worker.free.memory_bytes < 0:
-            self._free_memory(entry, now_s)
+            self._evict_to_free_memory(entry, now_s)
 
     def _drop_margins(self, worker: workers.Worker) -> None:
         """Count tasks with the memory that they use, and no more."""
         for task_id, placement in list(worker.placements.items()):
-            track = self._tracks.get(task_id)
-            if track is None or track.reports < 2:
+            observed = self._observations.get(task_id)
+            if observed is None or observed.reports < 2:
                 continue
             worker.remove(task_id)
             placement.counted = dataclasses.replace(
-                placement.counted, memory_bytes=track.peak.memory_bytes
+                placement.counted, memory_bytes=observed.peak.memory_bytes
             )
             worker.add(placement)
 
-    def _free_memory(self, entry: indexes.Entry, now_s: float) -> None:
+    def _evict_to_free_memory(
+        self, entry: indexes.Entry, now_s: float
+    ) -> None:
         self._drop_margins(entry.worker)
         self._allocator.index.update(entry.worker, now_s=now_s)
         short_bytes = -entry.worker.free.memory_bytes
@@ -249,14 +256,14 @@
             )
             short_bytes -= victim.counted.memory_bytes
 
-    def _control(self, entry: indexes.Entry, now_s: float) -> None:
-        sufferers = self._sufferers(entry)
-        if not sufferers:
+    def _limit_interference(self, entry: indexes.Entry, now_s: float) -> None:
+        excess_by_service = self._excess_by_service(entry)
+        if not excess_by_service:
             entry.is_hot = False
-            self._release_all(entry)
+            self._remove_throttles(entry)
             return
-        excess = max(sufferers.values())
-        culprits = self._culprits(entry, sufferers, now_s)
+        excess = max(excess_by_service.values())
+        culprits = self._culprits(entry, excess_by_service, now_s)
         verdict = self._throttling.decide(
             base.WorkerView(
                 worker=entry.worker.name,
@@ -269,7 +276,7 @@
             entry.worker.order_throttle(order.task, order.share)
             _LOG.log(events.TASK_THROTTLED, task=order.task, share=order.share)
         if verdict.throttles:
-            self._allocator.index.recount(entry)
+            self._allocator.index.refresh_usage(entry)
         if verdict.evict:
             self._allocator.evictions.evict_one(
                 entry,
@@ -285,7 +292,7 @@
             found.share < 1.0 for found in culprits
         )
 
-    def _release_all(self, entry: indexes.Entry) -> None:
+    def _remove_throttles(self, entry: indexes.Entry) -> None:
         """Lift the limits of jobs on a worker where no services are left."""
         worker = entry.worker
         throttled = [
@@ -296,20 +303,20 @@
         for task in throttled:
             worker.order_throttle(task, 1.0)
         if throttled:
-            self._allocator.index.recount(entry)
+            self._allocator.index.refresh_usage(entry)
 
-    def _sufferers(self, entry: indexes.Entry) -> dict[str, float]:
+    def _excess_by_service(self, entry: indexes.Entry) -> dict[str, float]:
         """Return the excess of each service on a worker, by task."""
         found = {}
         for task_id, placement in entry.worker.placements.items():
             spec = placement.task.spec
-            track = self._tracks.get(task_id)
-            if spec.kind == tasks.TaskKind.BATCH or track is None:
+            observed = self._observations.get(task_id)
+            if spec.kind == tasks.TaskKind.BATCH or observed is None:
                 continue
-            if not track.slowdown:
+            if not observed.slowdown:
                 continue
             quota = self._allocator.quotas.of(spec.team)
-            found[task_id] = track.slowdown / math.exp(
+            found[task_id] = observed.slowdown / math.exp(
                 least_harm.ceiling(quota)
             )
         return found
@@ -317,13 +324,13 @@
     def _culprits(
         self,
         entry: indexes.Entry,
-        sufferers: dict[str, float],
+        excess_by_service: dict[str, float],
         now_s: float,
     ) -> list[base.Culprit]:
         worker = entry.worker
         names = {
             indexes.class_of(worker.placements[task].task.spec)
-            for task in sufferers
+            for task in excess_by_service
         }
         culprits = []
         for task_id, placement in worker.placements.items():
@@ -351,7 +358,7 @@
         return culprits
 
 
-def others_than(
+def neighbours_of(
     entry: indexes.Entry, placement: workers.Placement
 ) -> list[interference.Neighbour]:
     """Return the classes beside a task on its worker.
--- a/wisteriawood/machines/placers.py
+++ b/wisteriawood/machines/placers.py
@@ -25,18 +25,18 @@
 if typing.TYPE_CHECKING:
     from wisteriawood.machines import schedulers
 
-QUEUE_PERIOD_S = 0.5
+QUEUE_POLL_PERIOD_S = 0.5
 # Time between rounds while a task waits for room that is being made.
-ROOM_PERIOD_S = 0.1
-USAGE_PERIOD_S = 1.0
+URGENT_ROUND_PERIOD_S = 0.1
+USAGE_POLL_PERIOD_S = 1.0
 # Time after which the next scheduler of the zone tries to place a task.
-PASS_ON_S = 0.4
+NEXT_SCHEDULER_DELAY_S = 0.4
 # Time for which all workers must have been too small for a task before it
 # counts as impossible, since the host list lags.
 IMPOSSIBLE_AFTER_S = 5.0
-CAPACITY_KEPT_S = 600.0
-LEAST_WEIGHT = 0.01
-NO_LIMIT = 2**62
+CAPACITY_RETENTION_S = 600.0
+MIN_WEIGHT = 0.01
+UNLIMITED = 2**62
 
 _LOG = events.Logger(name=__name__)
 
@@ -56,7 +56,7 @@
     limit = None
     if any(value is not None for value in limits):
         cores, memory_bytes, accelerators = (
-            NO_LIMIT if value is None else value for value in limits
+            UNLIMITED if value is None else value for value in limits
         )
         limit = resources.Resources(
             cores=cores, memory_bytes=memory_bytes, accelerators=accelerators
@@ -64,7 +64,7 @@
     classes = team.batch_classes.items()
     return quotas.Quota(
         team=name,
-        weight=max(team.quota.share, LEAST_WEIGHT),
+        weight=max(team.quota.share, MIN_WEIGHT),
         limit=limit,
         tail_latency_weight=team.weights.tail_latency,
         throughput_weight=team.weights.batch_throughput,
@@ -88,8 +88,8 @@
     """
 
     __slots__ = (
-        "_assigning",
-        "_capacities",
+        "_assigned_versions",
+        "_capacity_seen_s",
         "_group",
         "_queue_changed",
         "_scheduler",
@@ -106,14 +106,14 @@
     ):
         self.allocator = allocators.Allocator(rng=rng, placement=policy)
         self.monitor = monitors.Monitor(allocator=self.allocator)
-        self._assigning: dict[str, int] = {}
-        self._capacities: dict[resources.Resources, float] = {}
+        self._assigned_versions: dict[str, int] = {}
+        self._capacity_seen_s: dict[resources.Resources, float] = {}
         self._group: abc.TaskGroup | None = None
         self._queue_changed = anyio.Event()
         self._scheduler = scheduler
 
     @property
-    def pending(self) -> dict[str, queues.Waiting]:
+    def pending(self) -> dict[str, queues.WaitingTask]:
         """Tasks that wait for a worker, by id."""
         return self.allocator.queue.waiting
 
@@ -137,7 +137,7 @@
         for host in hosts:
             is_worker = host.kind == platforms.HostKind.WORKER
             if is_worker and host.zone == self._scheduler.zone:
-                self._capacities[host.capacity] = now_s
+                self._capacity_seen_s[host.capacity] = now_s
                 total = total + host.capacity
         self.allocator.zone_capacity = total
 
@@ -161,7 +161,7 @@
             task: Id of the task.
             worker: Name of its worker.
         """
-        self.allocator.probations.succeed(worker=worker, task=task)
+        self.allocator.probations.record_success(worker=worker, task=task)
 
     def note_failure(self, task: str, worker: str) -> None:
         """Take over that an attempt failed.
@@ -170,7 +170,7 @@
             task: Id of the task.
             worker: Name of its worker.
         """
-        is_new = self.allocator.probations.fail(
+        is_new = self.allocator.probations.record_failure(
             worker=worker,
             task=task,
             now_s=anyio.current_time(),
@@ -207,7 +207,7 @@
                     await self._read_queue()
                 except errors.PlatformError:
                     pass
-            await anyio.sleep(QUEUE_PERIOD_S)
+            await anyio.sleep(QUEUE_POLL_PERIOD_S)
 
     async def _read_queue(self) -> None:
         scheduler = self._scheduler
@@ -222,15 +222,17 @@
             old = self.pending.get(task_id)
             if old is not None and old.version == row.version:
                 continue
-            if self._assigning.get(task_id) == row.version:
+            if self._assigned_versions.get(task_id) == row.version:
                 continue
             task = rows.from_value(row.value, tasks.Task)
             self.allocator.queue.add(task, version=row.version, now_s=now_s)
         for task_id in self.pending.keys() - seen:
             self.allocator.withdraw(task_id)
         for waiting in list(self.pending.values()):
-            waiting.turn_s = PASS_ON_S * self._rank(waiting.task.spec.id)
-            await self._check_possible(waiting, now_s)
+            waiting.min_wait_s = NEXT_SCHEDULER_DELAY_S * self._rank(
+                waiting.task.spec.id
+            )
+            await self._end_if_impossible(waiting, now_s)
         self._queue_changed.set()
 
     def _rank(self, task_id: str) -> int:
@@ -241,20 +243,24 @@
 
     async def _place_forever(self) -> None:
         while True:
-            period_s = ROOM_PERIOD_S if self._awaits_room() else None
+            period_s = (
+                URGENT_ROUND_PERIOD_S
+                if self._has_urgent_reservation()
+                else None
+            )
             with anyio.move_on_after(period_s):
                 await self._queue_changed.wait()
             self._queue_changed = anyio.Event()
             now_s = anyio.current_time()
             if not self._scheduler.membership.is_confirmed():
                 continue
-            self.allocator.refresh(self._workers(), now_s=now_s)
+            self.allocator.refresh(self._all_workers(), now_s=now_s)
             for start in self.allocator.place(now_s=now_s):
                 self._group.start_soon(self._assign, start)
 
-    def _awaits_room(self) -> bool:
+    def _has_urgent_reservation(self) -> bool:
         return any(
-            waiting.reserved and waiting.task.spec.urgent
+            waiting.reserved_worker and waiting.task.spec.urgent
             for waiting in self.pending.values()
         )
 
@@ -262,35 +268,35 @@
         placement = start.placement
         task_id = placement.task.spec.id
         # A row read before the commit would be placed a second time.
-        self._assigning[task_id] = placement.version
+        self._assigned_versions[task_id] = placement.version
         await self._scheduler.assign(start.worker, placement)
         if placement.is_committed:
-            await anyio.sleep(2 * QUEUE_PERIOD_S)
-        self._assigning.pop(task_id, None)
+            await anyio.sleep(2 * QUEUE_POLL_PERIOD_S)
+        self._assigned_versions.pop(task_id, None)
 
-    def _workers(self) -> typing.Iterator[typing.Any]:
+    def _all_workers(self) -> typing.Iterator[typing.Any]:
         for rack in self._scheduler.racks.values():
             yield from rack.workers.values()
 
-    async def _check_possible(
-        self, waiting: queues.Waiting, now_s: float
+    async def _end_if_impossible(
+        self, waiting: queues.WaitingTask, now_s: float
     ) -> None:
         needs = waiting.task.spec.needs
-        if now_s - waiting.since_s < IMPOSSIBLE_AFTER_S + waiting.turn_s:
+        if now_s - waiting.since_s < IMPOSSIBLE_AFTER_S + waiting.min_wait_s:
             return
-        self._capacities = {
+        self._capacity_seen_s = {
             capacity: seen_s
-            for capacity, seen_s in self._capacities.items()
-            if now_s - seen_s < CAPACITY_KEPT_S
+            for capacity, seen_s in self._capacity_seen_s.items()
+            if now_s - seen_s < CAPACITY_RETENTION_S
         }
-        if not self._capacities:
+        if not self._capacity_seen_s:
             waiting.reason = "the host list names no worker in this zone"
             return
-        if any(needs.fits(capacity) for capacity in self._capacities):
+        if any(needs.fits(capacity) for capacity in self._capacity_seen_s):
             return
-        await self._end_impossible(waiting)
+        await self._end_as_impossible(waiting)
 
-    async def _end_impossible(self, waiting: queues.Waiting) -> None:
+    async def _end_as_impossible(self, waiting: queues.WaitingTask) -> None:
         task = waiting.task
         needs = task.spec.needs
         task.state = tasks.TaskState.IMPOSSIBLE
@@ -322,10 +328,10 @@
 
     async def _follow_usage(self) -> None:
         while True:
-            await anyio.sleep(USAGE_PERIOD_S)
+            await anyio.sleep(USAGE_POLL_PERIOD_S)
             now_s = anyio.current_time()
             placed = set()
-            for worker in self._workers():
+            for worker in self._all_workers():
                 placed |= worker.placements.keys()
                 if worker.usage:
                     self.monitor.observe(
--- a/wisteriawood/machines/probations.py
+++ b/wisteriawood/machines/probations.py
@@ -3,19 +3,19 @@
 import dataclasses
 
 # Distinct jobs that fail on a worker before it is put on probation.
-JOBS_TO_BLAME_WORKER = 3
+FAILED_JOBS_FOR_PROBATION = 3
 # Distinct workers that a job fails on before it is stopped.
-WORKERS_TO_BLAME_JOB = 3
-MEMORY_S = 600.0
+FAILED_WORKERS_FOR_FAULTY_JOB = 3
+FAILURE_WINDOW_S = 600.0
 FIRST_PROBATION_S = 60.0
 MAX_PROBATION_S = 3600.0
 # Share of the workers that may be on probation at once.
-MAX_SHARE = 0.2
-MAX_JOBS = 20_000
+MAX_PROBATION_SHARE = 0.2
+MAX_TRACKED_JOBS = 20_000
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Record:
+class FailureRecord:
     """What is known of a worker's failures.
 
     Attributes:
@@ -36,9 +36,9 @@
 
     def __init__(self):
         self._jobs: dict[str, set[str]] = {}
-        self._workers: dict[str, Record] = {}
+        self._workers: dict[str, FailureRecord] = {}
 
-    def fail(
+    def record_failure(
         self, *, worker: str, task: str, now_s: float, worker_count: int
     ) -> bool:
         """Record that an attempt failed.
@@ -52,23 +52,23 @@
         Returns:
             Whether this puts the worker on probation.
         """
-        if len(self._jobs) >= MAX_JOBS:
+        if len(self._jobs) >= MAX_TRACKED_JOBS:
             self._jobs.pop(next(iter(self._jobs)))
         self._jobs.setdefault(task, set()).add(worker)
-        record = self._workers.setdefault(worker, Record())
+        record = self._workers.setdefault(worker, FailureRecord())
         record.failed_s[task] = now_s
         record.failed_s = {
             job: at_s
             for job, at_s in record.failed_s.items()
-            if now_s - at_s < MEMORY_S
+            if now_s - at_s < FAILURE_WINDOW_S
         }
-        blame = [job for job in record.failed_s if not self.is_to_blame(job)]
-        if len(blame) < JOBS_TO_BLAME_WORKER or record.until_s > now_s:
+        blame = [job for job in record.failed_s if not self.is_faulty(job)]
+        if len(blame) < FAILED_JOBS_FOR_PROBATION or record.until_s > now_s:
             return False
         on_probation = sum(
             other.until_s > now_s for other in self._workers.values()
         )
-        if on_probation + 1 > max(1, int(worker_count * MAX_SHARE)):
+        if on_probation + 1 > max(1, int(worker_count * MAX_PROBATION_SHARE)):
             return False
         if worker_count <= 1:
             return False
@@ -78,7 +78,7 @@
         record.until_s = now_s + record.length_s
         return True
 
-    def succeed(self, *, worker: str, task: str) -> None:
+    def record_success(self, *, worker: str, task: str) -> None:
         """Record that an attempt finished well.
 
         Args:
@@ -91,7 +91,7 @@
             record.until_s = record.length_s = 0.0
         self._jobs.pop(task, None)
 
-    def names(self) -> list[str]:
+    def workers_with_failures(self) -> list[str]:
         """Return the workers on which anything failed lately."""
         return list(self._workers)
 
@@ -105,15 +105,15 @@
         record = self._workers.get(worker)
         return record is not None and record.until_s > now_s
 
-    def is_to_blame(self, task: str) -> bool:
+    def is_faulty(self, task: str) -> bool:
         """Tell whether a job failed on so many workers that it is to blame.
 
         Args:
             task: Id of the task.
         """
-        return len(self._jobs.get(task, ())) >= WORKERS_TO_BLAME_JOB
+        return len(self._jobs.get(task, ())) >= FAILED_WORKERS_FOR_FAULTY_JOB
 
-    def failed_on(self, task: str) -> set[str]:
+    def failed_workers(self, task: str) -> set[str]:
         """Return the workers on which a job failed.
 
         Args:
--- a/wisteriawood/machines/probes.py
+++ b/wisteriawood/machines/probes.py
@@ -6,8 +6,8 @@
 
 # Tasks of a class not yet known that may run unmeasured, and the time after
 # which one counts as measured though no report came.
-MAX_PROBES = 8
-PROBE_S = 15.0
+MAX_UNMEASURED_TASKS = 8
+MEASUREMENT_TIMEOUT_S = 15.0
 
 
 class Probes:
@@ -37,9 +37,9 @@
         if running is None:
             return True
         for task, started_s in list(running.items()):
-            if now_s - started_s > PROBE_S:
+            if now_s - started_s > MEASUREMENT_TIMEOUT_S:
                 del running[task]
-        return len(running) < MAX_PROBES
+        return len(running) < MAX_UNMEASURED_TASKS
 
     def start(self, spec: tasks.TaskSpec, *, now_s: float) -> None:
         """Take over that a task starts.
--- a/wisteriawood/machines/queues.py
+++ b/wisteriawood/machines/queues.py
@@ -10,13 +10,13 @@
 
 # One step of priority is worth this much waiting, so that nothing of low
 # priority waits for ever.
-PRIORITY_WAIT_S = 60.0
+WAIT_PER_PRIORITY_S = 60.0
 # Tasks of one team that are looked at in one round.
-TEAM_DEPTH = 256
+MAX_TASKS_PER_TEAM = 256
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
-class Waiting:
+class WaitingTask:
     """A task that waits for a worker.
 
     Attributes:
@@ -34,15 +34,15 @@
     version: int
     since_s: float
     reason: str = "not looked at yet"
-    reserved: str = ""
-    reserved_s: float = 0.0
-    is_short: bool = False
-    turn_s: float = 0.0
+    reserved_worker: str = ""
+    reserved_at_s: float = 0.0
+    lacks_capacity: bool = False
+    min_wait_s: float = 0.0
 
     def order(self) -> tuple[float, str]:
         """Return the key of its place within the team."""
         spec = self.task.spec
-        return self.since_s - spec.priority * PRIORITY_WAIT_S, spec.id
+        return self.since_s - spec.priority * WAIT_PER_PRIORITY_S, spec.id
 
 
 class Queue:
@@ -51,24 +51,26 @@
     __slots__ = ("_teams", "_urgent", "waiting")
 
     def __init__(self):
-        self.waiting: dict[str, Waiting] = {}
+        self.waiting: dict[str, WaitingTask] = {}
         self._urgent = self._new_list()
         self._teams: dict[str, sortedcontainers.SortedKeyList] = {}
 
     @staticmethod
     def _new_list() -> sortedcontainers.SortedKeyList:
-        return sortedcontainers.SortedKeyList(key=Waiting.order)
+        return sortedcontainers.SortedKeyList(key=WaitingTask.order)
 
     def __len__(self) -> int:
         return len(self.waiting)
 
-    def _list_of(self, waiting: Waiting) -> sortedcontainers.SortedKeyList:
+    def _list_of(self, waiting: WaitingTask) -> sortedcontainers.SortedKeyList:
         spec = waiting.task.spec
         if spec.urgent:
             return self._urgent
         return self._teams.setdefault(spec.team, self._new_list())
 
-    def add(self, task: tasks.Task, *, version: int, now_s: float) -> Waiting:
+    def add(
+        self, task: tasks.Task, *, version: int, now_s: float
+    ) -> WaitingTask:
         """Add a task, or take over its changed row.
 
         Args:
@@ -80,18 +82,18 @@
             Its entry; one that waited already keeps its place in time.
         """
         old = self.discard(task.spec.id)
-        waiting = Waiting(task=task, version=version, since_s=now_s)
+        waiting = WaitingTask(task=task, version=version, since_s=now_s)
         if old is not None:
             waiting.since_s = old.since_s
             waiting.reason = old.reason
-            waiting.reserved = old.reserved
-            waiting.reserved_s = old.reserved_s
-            waiting.turn_s = old.turn_s
+            waiting.reserved_worker = old.reserved_worker
+            waiting.reserved_at_s = old.reserved_at_s
+            waiting.min_wait_s = old.min_wait_s
         self.waiting[task.spec.id] = waiting
         self._list_of(waiting).add(waiting)
         return waiting
 
-    def discard(self, task: str) -> Waiting | None:
+    def discard(self, task: str) -> WaitingTask | None:
         """Take a task out.
 
         Args:
@@ -113,13 +115,13 @@
         """Return the teams whose tasks wait, urgent ones aside."""
         return list(self._teams)
 
-    def urgent(self) -> list[Waiting]:
+    def urgent(self) -> list[WaitingTask]:
         """Return the urgent tasks in order."""
         return list(self._urgent)
 
     def by_share(
         self, share: typing.Callable[[str], float]
-    ) -> typing.Iterator[Waiting]:
+    ) -> typing.Iterator[WaitingTask]:
         """Yield tasks that are not urgent, fair between teams.
 
         The team with the least share comes next; its share is asked for
@@ -129,7 +131,7 @@
             share: Returns the weighted dominant share of a team.
         """
         heads = [
-            (share(team), team, 0, list(found.islice(0, TEAM_DEPTH)))
+            (share(team), team, 0, list(found.islice(0, MAX_TASKS_PER_TEAM)))
             for team, found in self._teams.items()
         ]
         heapq.heapify(heads)
--- a/wisteriawood/tests/placement_tests.py
+++ b/wisteriawood/tests/placement_tests.py
@@ -49,7 +49,7 @@
                 cores=rng.uniform(0.5, 64),
                 memory_bytes=rng.randint(1, 250) * GIB,
             )
-            with mock.patch.object(indexes, "EDGE_TRIES", 60):
+            with mock.patch.object(indexes, "BORDERLINE_SAMPLE_SIZE", 60):
                 drawn = index.sample(wanted, 60)
             self.assertCountEqual(
                 [e.worker.name for e in index.fitting(wanted)],
@@ -71,18 +71,18 @@
         needs = builders.make_resources(cores=32.0)
         builders.place_on(found[0], builders.make_spec(needs=needs))
         index.refresh(found)
-        self.assertEqual(0.25, index.share("vitrinenklima"))
+        self.assertEqual(0.25, index.team_share("vitrinenklima"))
         index.refresh(found[:1])
-        self.assertEqual(0.5, index.share("vitrinenklima"))
+        self.assertEqual(0.5, index.team_share("vitrinenklima"))
         found[0].remove("task-1")
         index.refresh(found[:1])
-        self.assertEqual(0.0, index.share("vitrinenklima"))
+        self.assertEqual(0.0, index.team_share("vitrinenklima"))
 
 
 class PlacementTests(unittest.TestCase):
 
     def setUp(self):
-        patcher = mock.patch.object(probes, "MAX_PROBES", 10_000)
+        patcher = mock.patch.object(probes, "MAX_UNMEASURED_TASKS", 10_000)
         patcher.start()
         self.addCleanup(patcher.stop)
 
@@ -217,7 +217,9 @@
         ]
         for spec in specs:
             builders.enqueue(allocator, spec)
-        self.assertEqual(probes.MAX_PROBES, len(allocator.place(now_s=0.0)))
+        self.assertEqual(
+            probes.MAX_UNMEASURED_TASKS, len(allocator.place(now_s=0.0))
+        )
         self.assertEqual([], allocator.place(now_s=1.0))
         for now_s in (2.0, 3.0):
             for worker in found:
--- a/wisteriawood/tests/queues_tests.py
+++ b/wisteriawood/tests/queues_tests.py
@@ -32,7 +32,7 @@
 
     def setUp(self):
         # Most tests are not about classes that are new.
-        patcher = mock.patch.object(probes, "MAX_PROBES", 10_000)
+        patcher = mock.patch.object(probes, "MAX_UNMEASURED_TASKS", 10_000)
         patcher.start()
         self.addCleanup(patcher.stop)
 
@@ -136,7 +136,7 @@
         kept = [
             entry
             for entry in allocator.index.entries.values()
-            if entry.reserved
+            if entry.reserved_for
         ]
         self.assertEqual(1, len(kept))
         builders.enqueue(allocator, _eight_cores("small"), now_s=60.0)
@@ -252,7 +252,7 @@
 class ProbationTests(unittest.TestCase):
 
     def _fail(self, found, worker, task, *, now_s=0.0, count=10):
-        return found.fail(
+        return found.record_failure(
             worker=worker, task=task, now_s=now_s, worker_count=count
         )
 
@@ -270,7 +270,7 @@
         for task in ("a", "b", "c"):
             for worker in ("w-1", "w-2", "w-3"):
                 self._fail(found, worker, task)
-        self.assertTrue(found.is_to_blame("c"))
+        self.assertTrue(found.is_faulty("c"))
         # The third worker's jobs were to blame by then.
         self.assertFalse(found.is_on_probation("w-3", 1.0))
 
@@ -292,5 +292,5 @@
             self._fail(found, "w", f"a-{number}")
         self.assertTrue(self._fail(found, "w", "b", now_s=61.0))
         self.assertTrue(found.is_on_probation("w", 61.0 + 119.0))
-        found.succeed(worker="w", task="b")
+        found.record_success(worker="w", task="b")
         self.assertFalse(found.is_on_probation("w", 62.0))
