--- a/wisteriawood/machines/__init__.py
+++ b/wisteriawood/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Machines: entry hosts, schedulers, workers, racks and targets."""
+"""Entry hosts, schedulers, workers, racks and targets."""
--- a/wisteriawood/machines/allocators.py
+++ b/wisteriawood/machines/allocators.py
@@ -1,4 +1,4 @@
-"""The allocator: decides which waiting task starts on which worker."""
+"""Allocator that decides which waiting task starts on which worker."""
 
 import dataclasses
 import random
@@ -21,36 +21,31 @@
 from wisteriawood.policies import registry
 from wisteriawood.policies import sizes
 
-# Waiting time after which a worker is kept for a task that finds no room.
+# Waiting time after which a worker is reserved for a task that does not fit
+# on any worker.
 RESERVE_WORKER_AFTER_S = 30.0
-# Time after which the worker is given free for others again.
+# Time after which a reservation ends and the worker accepts other tasks.
 RESERVATION_TIMEOUT_S = 300.0
-# Share of the workers that may be kept for tasks.
+# Largest share of the workers that may be reserved, at least one worker.
 MAX_RESERVED_SHARE = 0.1
-# Waiting time after which a team takes back what others have borrowed.
+# Waiting time after which jobs of teams above their fair share are evicted
+# for a task of a team below its own.
 RECLAIM_SHARE_AFTER_S = 10.0
 MAX_RECLAIMS_PER_ROUND = 4
+# Failures cached in a round for each class, and for lack of resources.
 MAX_CACHED_FAILURES = 16
-# Waiting time after which a job that would do harm anywhere starts
-# throttled, and the share that it starts with.
+# Waiting time after which a job that would slow its neighbours too much on
+# every worker starts throttled, and the share of its resources it starts with.
 START_THROTTLED_AFTER_S = 60.0
 THROTTLED_START_SHARE = 0.25
-# Waiting time after which a job that would do harm anywhere starts
-# throttled, and the share that it starts with.
-START_THROTTLED_AFTER_S = 60.0
-THROTTLED_START_SHARE = 0.25
-# Tasks of a class not yet known that may run unmeasured, and the time after
-# which one counts as measured though no report came.
-MAX_PROBES = 8
-PROBE_S = 15.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Start:
-    """A decision: this task starts on this worker.
+    """The decision to start a task on a worker.
 
     Attributes:
-        worker: The worker; the task's resources are counted already.
+        worker: The worker; the task's resources are already allocated on it.
         placement: The placement to commit.
     """
 
@@ -60,12 +55,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class PlacementFailure:
-    """A need that found no worker in this round.
+    """Resource needs for which no worker was found in this round.
 
     Attributes:
-        needs: The need; a larger one finds none either.
-        reason: Why.
-        is_short: Whether room is what was missing.
+        needs: The needs; larger needs are not tried again in the round.
+        reason: Why no worker was found.
+        lacks_capacity: Whether too few resources were free.
     """
 
     needs: resources.Resources
@@ -75,11 +70,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class WorkerChoice:
-    """Where a task can start.
+    """The worker on which a task can start.
 
     Attributes:
-        entry: The worker.
-        share: Share of its resources that it starts with, 0 to 1.
+        entry: The worker's entry in the index.
+        share: Share of its resources that the task starts with, 0 to 1.
     """
 
     entry: indexes.Entry
@@ -87,7 +82,7 @@
 
 
 class Allocator:
-    """Decides for one scheduler; does no I/O.
+    """Places the tasks of one scheduler, without any I/O.
 
     Args:
         rng: Source of random numbers.
@@ -95,7 +90,7 @@
         eviction: Name of the eviction policy.
         team_quotas: Quotas of the teams.
         estimates: Predicts slowdowns.
-        learned: Predicts sizes.
+        learned: Predicts the resource use of tasks from past reports.
     """
 
     __slots__ = (
@@ -149,15 +144,15 @@
         self.zone_capacity = resources.NOTHING
 
     def refresh(
-        self, found: typing.Iterable[workers.Worker], *, now_s: float
+        self, held: typing.Iterable[workers.Worker], *, now_s: float
     ) -> None:
-        """Take over which workers there are, once before each round.
+        """Update the index of workers, once before each round.
 
         Args:
-            found: All workers of the racks held.
+            held: All workers of the racks that the scheduler holds.
             now_s: Monotonic time in seconds.
         """
-        self.index.refresh(found, now_s=now_s)
+        self.index.refresh(held, now_s=now_s)
         for name in self.probations.workers_with_failures():
             entry = self.index.entries.get(name)
             if entry is not None:
@@ -165,13 +160,13 @@
                 self.index.update(entry.worker, now_s=now_s)
 
     def place(self, *, now_s: float) -> list[Start]:
-        """Place what can be placed: one round over the queue.
+        """Place as many queued tasks as possible, in one round.
 
         Args:
             now_s: Monotonic time in seconds.
 
         Returns:
-            The decisions; their tasks no longer wait.
+            The decisions; their tasks are no longer in the queue.
         """
         self._cached_failures = {}
         self._reclaim_count = 0
@@ -186,7 +181,7 @@
         return starts
 
     def withdraw(self, task: str) -> None:
-        """Take a task out of the queue, as when it was cancelled.
+        """Remove a task from the queue, for example after a cancellation.
 
         Args:
             task: Id of the task.
@@ -196,7 +191,7 @@
             self.index.reserve(waiting.reserved_worker, "")
 
     def keep_only(self, placed: set[str]) -> None:
-        """Forget the tasks that have left.
+        """Discard the state of tasks that are no longer on a worker.
 
         Args:
             placed: Ids of the tasks that are on workers.
@@ -205,7 +200,7 @@
         self.probes.keep_only(placed)
 
     def predict_needs(self, spec: tasks.TaskSpec) -> resources.Resources:
-        """Return what a task is counted with.
+        """Return the resources to allocate for a task.
 
         Args:
             spec: The task.
@@ -220,7 +215,9 @@
     ) -> bool:
         spec = waiting.task.spec
         if now_s - waiting.since_s < waiting.min_wait_s:
-            waiting.reason = "another scheduler of the zone comes first"
+            waiting.reason = (
+                "another scheduler of the zone tries to place it first"
+            )
             return False
         needs = self.predict_needs(spec)
         if not self._is_within_limit(spec.team, needs):
@@ -238,10 +235,11 @@
         return True
 
     def _is_within_limit(self, team: str, needs: resources.Resources) -> bool:
-        """Tell whether a team may use more, by this scheduler's slice.
+        """Return whether more resources stay within a team's limit.
 
-        The slice of a limit is as large as that of the zone's workers which
-        this scheduler holds, but a team may always have one task of its own.
+        A scheduler applies a part of the limit: the part of the zone's
+        capacity that its own workers have. A team that uses no cores may
+        always start one task, if the task fits in the limit itself.
         """
         limit = self.quotas.of(team).limit
         if limit is None:
@@ -275,7 +273,7 @@
                 return None
         elif not needs.fits(reserved.worker.free):
             waiting.reason = (
-                f"waits for room on worker {waiting.reserved_worker}"
+                f"waits for free resources on worker {waiting.reserved_worker}"
             )
             return None
         request = placement_base.Request(
@@ -318,7 +316,7 @@
         avoided = self.probations.failed_workers(task.spec.id)
         avoided = avoided.union(task.failures)
         if len(avoided) >= len(self.index.entries):
-            # It failed on every worker there is, so each may try again.
+            # The task has failed on every worker, so all are allowed again.
             return set()
         return avoided
 
@@ -379,7 +377,7 @@
             throttle=choice.share,
         )
         if entry.worker.add(placement) is False:
-            # Its last attempt still counts on this very worker.
+            # The worker still has resources allocated to an earlier attempt.
             return
         self.probes.start(placement.task.spec, now_s=now_s)
         self.evictions.record_start(waiting.task.spec.id, now_s=now_s)
@@ -389,7 +387,7 @@
     def _reclaim_or_reserve(
         self, waiting: queues.WaitingTask, now_s: float
     ) -> None:
-        """Keep a worker for a task that has waited for room too long."""
+        """Evict for, or reserve a worker for, a task that waits too long."""
         waited_s = now_s - waiting.since_s
         if waiting.reserved_worker or waited_s < RECLAIM_SHARE_AFTER_S:
             return
@@ -403,7 +401,7 @@
             if self._evict_for(waiting, now_s):
                 return
         if waited_s >= RESERVE_WORKER_AFTER_S and self._can_reserve():
-            self._reserve_soonest_free(waiting, now_s)
+            self._reserve_worker(waiting, now_s)
 
     def _fair_share(self, team: str) -> float:
         teams = {team, *self.index.team_used, *self.queue.teams()}
@@ -438,7 +436,7 @@
             return False
         self._reserve(waiting, plan.entry, now_s)
         self.evictions.order(
-            plan, reason=f"makes room for {spec.id}", now_s=now_s
+            plan, reason=f"evicted to make room for {spec.id}", now_s=now_s
         )
         waiting.reason = f"waits for evictions on {plan.entry.worker.name}"
         return True
@@ -458,10 +456,10 @@
             1, int(MAX_RESERVED_SHARE * len(self.index.entries))
         )
 
-    def _reserve_soonest_free(
+    def _reserve_worker(
         self, waiting: queues.WaitingTask, now_s: float
     ) -> None:
         needs = self.predict_needs(waiting.task.spec)
-        entry = self.evictions.find_soonest_free(needs)
+        entry = self.evictions.find_worker_to_reserve(needs)
         if entry is not None:
             self._reserve(waiting, entry, now_s)
--- a/wisteriawood/machines/evictions.py
+++ b/wisteriawood/machines/evictions.py
@@ -1,4 +1,4 @@
-"""Evictions: which tasks go, so that another finds room."""
+"""Selection of the tasks to evict so that another task fits."""
 
 import dataclasses
 import typing
@@ -10,11 +10,11 @@
 from wisteriawood.policies.eviction import base
 from wisteriawood.telemetry import events
 
-# Workers that are looked at for one plan.
+# Workers examined for one eviction plan or reservation.
 SAMPLE_SIZE = 24
-# An eviction that has no effect for this long is ordered again.
+# Time after which an eviction that had no effect may be ordered again.
 ORDER_TIMEOUT_S = 20.0
-# Cost of the eviction of a job whose team uses more than its share.
+# Factor on the cost of evicting a job of a team above its fair share.
 OVER_SHARE_COST_FACTOR = 0.25
 
 _LOG = events.Logger(name=__name__)
@@ -27,7 +27,7 @@
     Attributes:
         entry: The worker's entry.
         victims: The tasks.
-        cost: What the policy says that they cost together.
+        cost: Total cost of the evictions, according to the policy.
     """
 
     entry: indexes.Entry
@@ -40,8 +40,8 @@
 
     Args:
         index: The workers.
-        policy: Says what an eviction costs.
-        team_quotas: Says which jobs are not evicted.
+        policy: Computes the cost of an eviction.
+        team_quotas: Quotas of the teams, with the classes never evicted.
     """
 
     __slots__ = ("_index", "_ordered_s", "_policy", "_quotas", "_started_s")
@@ -69,7 +69,7 @@
         self._started_s[task] = now_s
 
     def keep_only(self, placed: set[str]) -> None:
-        """Forget the tasks that have left.
+        """Discard the state of tasks that are no longer on a worker.
 
         Args:
             placed: Ids of the tasks that are on workers.
@@ -79,7 +79,7 @@
                 del known[task]
 
     def expire_orders(self, *, now_s: float) -> None:
-        """Forget orders that had no effect, so that they are given again.
+        """Discard old orders, so that those without effect can be repeated.
 
         Args:
             now_s: Monotonic time in seconds.
@@ -91,7 +91,7 @@
         }
 
     def is_ordered(self, task: str) -> bool:
-        """Tell whether a task is being evicted.
+        """Return whether the eviction of a task has been ordered.
 
         Args:
             task: Id of the task.
@@ -101,13 +101,16 @@
     def victims(
         self, entry: indexes.Entry, *, now_s: float
     ) -> list[base.Victim]:
-        """Return the batch jobs of a worker, the cheapest first.
+        """Return the batch jobs of a worker that may be evicted.
+
+        The cheapest to evict comes first. Urgent jobs, jobs already being
+        evicted and classes that the team's quota protects are left out.
 
         Args:
             entry: The worker's entry.
             now_s: Monotonic time in seconds.
         """
-        found = []
+        evictable = []
         for task_id, placement in entry.worker.placements.items():
             spec = placement.task.spec
             if spec.kind != tasks.TaskKind.BATCH or spec.urgent:
@@ -117,7 +120,7 @@
             if spec.task_class in self._quotas.of(spec.team).not_evicted:
                 continue
             started_s = self._started_s.setdefault(task_id, now_s)
-            found.append(
+            evictable.append(
                 base.Victim(
                     spec=spec,
                     worker=entry.worker.name,
@@ -125,7 +128,7 @@
                     elapsed_s=now_s - started_s,
                 )
             )
-        return base.in_order(self._policy, found)
+        return base.in_order(self._policy, evictable)
 
     def plan(
         self,
@@ -136,14 +139,14 @@
         only_over_share: bool,
         avoid: typing.AbstractSet[str] = frozenset(),
     ) -> Plan | None:
-        """Return the cheapest evictions that make room, or None.
+        """Return the cheapest plan that frees enough resources, or None.
 
         Args:
-            needs: The room.
+            needs: Resources that must be free afterwards.
             now_s: Monotonic time in seconds.
-            over_share: Tells whether a team uses more than its share.
-            only_over_share: Whether only jobs of such teams may go.
-            avoid: Workers on which the task failed.
+            over_share: Returns whether a team uses more than its fair share.
+            only_over_share: Whether only jobs of such teams may be evicted.
+            avoid: Workers on which the waiting task failed.
         """
         best = None
         for entry in self._index.sample_any(SAMPLE_SIZE):
@@ -177,7 +180,7 @@
             free = free + victim.counted
         if not needs.fits(free):
             return None
-        # What was taken first may not be needed beside what came later.
+        # A later, larger victim can make an earlier one unnecessary.
         for victim in list(chosen):
             if needs.fits(free - victim.counted):
                 chosen.remove(victim)
@@ -195,7 +198,7 @@
 
         Args:
             plan: The plan.
-            reason: Why, for the operator.
+            reason: Reason shown to the operator.
             now_s: Monotonic time in seconds.
         """
         for victim in plan.victims:
@@ -211,16 +214,17 @@
         reason: str,
         now_s: float,
     ) -> bool:
-        """Order the eviction that frees services of most harm per cost.
+        """Order the eviction with the best ratio of harm to cost.
 
         Args:
             entry: The worker's entry.
-            harms: Predicted harm by id, of the tasks that may go.
-            reason: Why, for the operator.
+            harms: Predicted harm to services by task id, for the tasks that
+                may be evicted.
+            reason: Reason shown to the operator.
             now_s: Monotonic time in seconds.
 
         Returns:
-            Whether there was a job to evict.
+            Whether an eviction was ordered.
         """
         victims = [
             victim
@@ -239,13 +243,16 @@
         self.order(plan, reason=reason, now_s=now_s)
         return True
 
-    def find_soonest_free(
+    def find_worker_to_reserve(
         self, needs: resources.Resources
     ) -> indexes.Entry | None:
-        """Return a worker that will have room once its batch jobs end.
+        """Return a worker on which a task fits once the batch jobs end.
+
+        Of a sample of workers, the one with the most free cores is chosen;
+        None if no worker of the sample qualifies.
 
         Args:
-            needs: The room.
+            needs: Resources that the task needs.
         """
         best, most = None, -1.0
         for entry in self._index.sample_any(SAMPLE_SIZE):
--- a/wisteriawood/machines/indexes.py
+++ b/wisteriawood/machines/indexes.py
@@ -1,4 +1,4 @@
-"""The index of workers by what they have free."""
+"""Index of workers by their free resources."""
 
 import bisect
 import dataclasses
@@ -11,23 +11,25 @@
 from wisteriawood.machines import workers
 from wisteriawood.policies import interference
 
-# Two levels of free cores and one of free memory to each doubling.
+# Levels per doubling of the free cores. Free memory has one level per
+# doubling.
 CORE_LEVELS_PER_DOUBLING = 2.0
 MEMORY_UNIT_BYTES = 2**28
-# Workers looked at whose level is the one that the need itself falls in.
+# Workers sampled from the buckets that contain the needs themselves, where
+# only some of the workers have enough free.
 BORDERLINE_SAMPLE_SIZE = 48
 
 Level = tuple[int, int, int]
 
 
 def class_of(spec: tasks.TaskSpec) -> str:
-    """Return the class under which a task's behaviour is learned."""
+    """Return the class under which usage and slowdowns are learned."""
     name = spec.task_class or spec.service or spec.kind.value
     return f"{spec.team}/{name}"
 
 
 def group_of(spec: tasks.TaskSpec) -> str:
-    """Return the group that is spread over racks; empty for batch."""
+    """Return the group to spread over racks, or empty for batch tasks."""
     if spec.kind == tasks.TaskKind.BATCH:
         return ""
     return f"{spec.kind.value}/{class_of(spec)}"
@@ -36,7 +38,7 @@
 def dominant_share(
     used: resources.Resources, total: resources.Resources
 ) -> float:
-    """Return the dominant share that an amount is of a total."""
+    """Return the dominant share: the largest share of any one resource."""
     return max(
         used.cores / total.cores if total.cores else 0.0,
         used.memory_bytes / total.memory_bytes if total.memory_bytes else 0.0,
@@ -45,7 +47,7 @@
 
 
 def load_of(placement: workers.Placement, worker: workers.Worker) -> float:
-    """Return the cores that a task may use, as a share of the worker's."""
+    """Return the share of a worker's cores that a task may use."""
     cores = placement.counted.cores * placement.throttle
     return cores / max(worker.capacity.cores, 1.0)
 
@@ -66,17 +68,18 @@
 
     Attributes:
         worker: The worker.
-        free: What it had free when it was last looked at.
+        free: Free resources at the last update.
         level: Key of its bucket; None while it is in no bucket.
-        position: Its position in the bucket.
-        reserved: Task that it is kept for; empty if for none.
-        used: What each team uses of it.
-        groups: Instances of each group on it.
-        neighbours: Classes on it and their loads.
+        position: Position in the bucket.
+        reserved_for: Task for which it is reserved; empty if none.
+        used: Resources allocated to each team on it.
+        groups: Number of instances of each group on it.
+        neighbours: Classes that run on it, with their loads.
         pressures: Predicted logarithm of the slowdown of each class on it.
         changed_s: Monotonic time at which its tasks last changed.
-        is_blocked: Whether it takes no tasks, as on probation.
-        is_hot: Whether services on it are slowed, so no batch is added.
+        is_blocked: Whether it is on probation and gets no tasks.
+        is_hot: Whether services on it are slowed or batch jobs throttled, so
+            that batch jobs which are not urgent stay away.
     """
 
     worker: workers.Worker
@@ -112,9 +115,9 @@
 
 
 class WorkerIndex:
-    """Workers in buckets of like free resources.
+    """Workers in buckets by the amount of free resources.
 
-    The number of buckets depends on the sizes of workers alone, so a
+    The number of buckets depends only on the sizes of the workers, so a
     decision costs about the same for 25 workers as for 20,000.
 
     Args:
@@ -139,30 +142,30 @@
         self.team_used: dict[str, resources.Resources] = {}
 
     def refresh(
-        self, found: typing.Iterable[workers.Worker], *, now_s: float = 0.0
+        self, held: typing.Iterable[workers.Worker], *, now_s: float = 0.0
     ) -> None:
-        """Take over which workers there are and what they have free.
+        """Update all entries, and remove workers that are not given.
 
         Args:
-            found: All workers that may hold tasks.
+            held: All workers that may run tasks.
             now_s: Monotonic time in seconds.
         """
         names = set()
-        for worker in found:
+        for worker in held:
             names.add(worker.name)
             self.update(worker, now_s=now_s)
         for name in self.entries.keys() - names:
             self.remove(name)
 
     def update(self, worker: workers.Worker, *, now_s: float = 0.0) -> Entry:
-        """Take over what one worker has free.
+        """Update the entry of one worker, or add it.
 
         Args:
-            worker: The worker; a new one is added.
+            worker: The worker.
             now_s: Monotonic time in seconds.
 
         Returns:
-            Its entry.
+            The worker's entry.
         """
         entry = self.entries.get(worker.name)
         if entry is not None and entry.worker is not worker:
@@ -179,7 +182,7 @@
         return entry
 
     def remove(self, name: str) -> None:
-        """Forget a worker.
+        """Remove a worker.
 
         Args:
             name: Name of the worker.
@@ -250,7 +253,7 @@
         entry.pressures = {}
 
     def reserve(self, name: str, task: str) -> None:
-        """Keep a worker for one task; no other is placed there.
+        """Reserve a worker for one task; no other task is placed there.
 
         Args:
             name: Name of the worker.
@@ -262,7 +265,7 @@
             self._update_bucket(entry)
 
     def refresh_usage(self, entry: Entry) -> None:
-        """Take over that the tasks of a worker were throttled.
+        """Recompute the usage and loads of a worker after throttling.
 
         Args:
             entry: The worker's entry.
@@ -270,7 +273,7 @@
         self._update_usage(entry)
 
     def team_share(self, team: str) -> float:
-        """Return the dominant share that a team uses.
+        """Return a team's dominant share of the capacity of all workers.
 
         Args:
             team: Name of the team.
@@ -279,28 +282,28 @@
         return dominant_share(used, self.capacity)
 
     def sample(self, needs: resources.Resources, count: int) -> list[Entry]:
-        """Return random workers that can hold an amount.
+        """Return random workers that have enough resources free.
 
         Args:
-            needs: The amount.
-            count: Most workers to return.
+            needs: Resources that must be free.
+            count: Maximum number of workers.
         """
-        wanted = _levels(needs, math.ceil)
+        sufficient = _levels(needs, math.ceil)
         minimum = _levels(needs, math.floor)
         certain: list[list[Entry]] = []
         borderline: list[list[Entry]] = []
         for level, bucket in self._buckets.items():
-            if level[2] < wanted[2]:
+            if level[2] < sufficient[2]:
                 continue
-            if level[0] >= wanted[0] and level[1] >= wanted[1]:
+            if level[0] >= sufficient[0] and level[1] >= sufficient[1]:
                 certain.append(bucket)
             elif level[0] >= minimum[0] and level[1] >= minimum[1]:
                 borderline.append(bucket)
-        found = self._draw(certain, needs, count)
-        if len(found) < count:
+        drawn = self._draw(certain, needs, count)
+        if len(drawn) < count:
             extra = self._draw(borderline, needs, BORDERLINE_SAMPLE_SIZE)
-            found += extra[: count - len(found)]
-        return found
+            drawn += extra[: count - len(drawn)]
+        return drawn
 
     def _draw(
         self,
@@ -321,22 +324,22 @@
                 position = bisect.bisect_right(ends, number)
                 start = ends[position - 1] if position else 0
                 drawn.append(buckets[position][number - start])
-        # A worker may hold more by now than when it was filed.
+        # Tasks may have been added to a worker since its bucket was chosen.
         return [entry for entry in drawn if needs.fits(entry.worker.free)]
 
     def sample_any(self, count: int) -> list[Entry]:
-        """Return random workers that take tasks, full or not.
+        """Return random workers that accept tasks, including full ones.
 
         Args:
-            count: Most workers to return.
+            count: Maximum number of workers.
         """
         return self._draw(list(self._buckets.values()), _ANY_AMOUNT, count)
 
     def fitting(self, needs: resources.Resources) -> list[Entry]:
-        """Return all workers that can hold an amount, by a scan.
+        """Return all workers that have enough resources free, by a scan.
 
         Args:
-            needs: The amount.
+            needs: Resources that must be free.
         """
         return [
             entry
--- a/wisteriawood/machines/monitors.py
+++ b/wisteriawood/machines/monitors.py
@@ -1,4 +1,4 @@
-"""The monitor: learns from usage reports and keeps services calm."""
+"""Monitor that learns from usage reports and protects services."""
 
 import dataclasses
 import math
@@ -18,27 +18,29 @@
 
 _LOG = events.Logger(name=__name__)
 
-# Usage reports of a worker whose tasks changed more lately than this are
-# not learned from: they lag, and tell of other neighbours.
+# Slowdowns are not learned from reports of a worker whose tasks changed less
+# than this time ago, since reports lag and may show former neighbours.
 SETTLING_TIME_S = 5.0
+# Time for which a slowdown seen by entry hosts replaces the reported one.
 LATENCY_VALID_S = 5.0
+# Weight of the newest value in the smoothed slowdown.
 SLOWDOWN_SMOOTHING = 0.4
-# A task that runs is counted with its use and this margin.
+# Memory allocated to a running task, as a factor on its peak use.
 MEMORY_MARGIN = 1.1
-# Changes smaller than this share of the worker are not taken over.
+# Changes below this share of the worker's cores do not change an allocation.
 MIN_CORES_CHANGE_SHARE = 0.01
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class TaskObservations:
-    """What was seen of one attempt.
+    """Measurements of one attempt of a task.
 
     Attributes:
-        reports: Reports so far.
-        peak: Greatest use in each resource.
-        slowdown: Smoothed slowdown; 0 if not known.
-        latency_slowdown: Slowdown as entry hosts saw it.
-        latency_s: Monotonic time at which they did.
+        reports: Number of usage reports taken while it was not throttled.
+        peak: Highest use of each resource.
+        slowdown: Smoothed slowdown as a ratio; 0 if not known.
+        latency_slowdown: Slowdown measured by entry hosts.
+        latency_s: Monotonic time of that measurement.
         measured_s: Time of the newest report on the worker's clock.
     """
 
@@ -51,14 +53,15 @@
 
 
 class Monitor:
-    """Joins usage reports with request latencies and acts on both.
+    """Limits batch jobs by usage reports and request latencies.
 
     Args:
-        allocator: Whose workers it watches and whose estimates it feeds.
+        allocator: Allocator whose workers are watched and whose estimates
+            are updated.
         throttling: Name of the throttling policy.
     """
 
-    __slots__ = ("_allocator", "_throttling", "_observations")
+    __slots__ = ("_allocator", "_observations", "_throttling")
 
     def __init__(
         self,
@@ -77,11 +80,12 @@
     def observe_latency(
         self, task: str, *, slowdown: float, now_s: float
     ) -> None:
-        """Take over how much slower a service instance answers.
+        """Record how much slower a service instance answers than its peers.
 
         Args:
             task: Id of the service instance.
-            slowdown: Its latency against its peers under equal load.
+            slowdown: Latency of the instance divided by that of its peers
+                under equal load.
             now_s: Monotonic time in seconds.
         """
         observed = self._observations.setdefault(task, TaskObservations())
@@ -89,7 +93,7 @@
         observed.latency_s = now_s
 
     def keep_only(self, placed: set[str]) -> None:
-        """Forget the tasks that have left.
+        """Discard the state of tasks that are no longer on a worker.
 
         Args:
             placed: Ids of the tasks that are on workers.
@@ -105,11 +109,11 @@
         *,
         now_s: float,
     ) -> None:
-        """Learn from the newest reports of a worker, then act.
+        """Learn from the newest reports of a worker and adjust its tasks.
 
         Args:
             worker: The worker.
-            reports: Its newest usage reports.
+            reports: Newest usage reports of the worker.
             now_s: Monotonic time in seconds.
         """
         index = self._allocator.index
@@ -148,7 +152,8 @@
             accelerators=placement.counted.accelerators,
         )
         observed.reports += 1
-        # Long runs teach less and less: at 2, 4, 8, ... reports.
+        # Samples are taken at 2, 4, 8, ... reports, so a long run adds fewer
+        # and fewer samples.
         if (
             observed.reports > 1
             and observed.reports & (observed.reports - 1) == 0
@@ -187,7 +192,7 @@
             )
 
     def _update_counted(self, entry: indexes.Entry, now_s: float) -> None:
-        """Count tasks with what they use, where that is known better."""
+        """Allocate what tasks were measured to use."""
         worker = entry.worker
         least = MIN_CORES_CHANGE_SHARE * worker.capacity.cores
         for task_id, placement in list(worker.placements.items()):
@@ -196,8 +201,8 @@
                 continue
             learned = self._allocator.predict_needs(placement.task.spec)
             old = placement.counted
-            # The margin must fit into what is free; the use itself counts
-            # in any case.
+            # The margin is limited to free memory; the measured use always
+            # counts in full.
             room_bytes = old.memory_bytes + max(0, worker.free.memory_bytes)
             margin_bytes = int(observed.peak.memory_bytes * MEMORY_MARGIN)
             wanted_bytes = max(learned.memory_bytes, margin_bytes)
@@ -224,7 +229,7 @@
             self._evict_to_free_memory(entry, now_s)
 
     def _drop_margins(self, worker: workers.Worker) -> None:
-        """Count tasks with the memory that they use, and no more."""
+        """Reduce the memory allocated to tasks to their peak use."""
         for task_id, placement in list(worker.placements.items()):
             observed = self._observations.get(task_id)
             if observed is None or observed.reports < 2:
@@ -293,7 +298,7 @@
         )
 
     def _remove_throttles(self, entry: indexes.Entry) -> None:
-        """Lift the limits of jobs on a worker where no services are left."""
+        """Remove the throttling of jobs on a worker without services."""
         worker = entry.worker
         throttled = [
             task
@@ -306,8 +311,12 @@
             self._allocator.index.refresh_usage(entry)
 
     def _excess_by_service(self, entry: indexes.Entry) -> dict[str, float]:
-        """Return the excess of each service on a worker, by task."""
-        found = {}
+        """Return the slowdown of services by task, relative to the limit.
+
+        Values above 1 exceed what the team allows. Services whose slowdown
+        is not known are left out.
+        """
+        excess_by_service = {}
         for task_id, placement in entry.worker.placements.items():
             spec = placement.task.spec
             observed = self._observations.get(task_id)
@@ -316,10 +325,10 @@
             if not observed.slowdown:
                 continue
             quota = self._allocator.quotas.of(spec.team)
-            found[task_id] = observed.slowdown / math.exp(
+            excess_by_service[task_id] = observed.slowdown / math.exp(
                 least_harm.ceiling(quota)
             )
-        return found
+        return excess_by_service
 
     def _culprits(
         self,
@@ -361,7 +370,7 @@
 def neighbours_of(
     entry: indexes.Entry, placement: workers.Placement
 ) -> list[interference.Neighbour]:
-    """Return the classes beside a task on its worker.
+    """Return the classes that run beside a task on its worker.
 
     Args:
         entry: The worker's entry.
@@ -369,11 +378,11 @@
     """
     name = indexes.class_of(placement.task.spec)
     own = indexes.load_of(placement, entry.worker)
-    found = []
+    neighbours = []
     for other in entry.neighbours.values():
         if other.name == name:
             if other.count == 1:
                 continue
             other = dataclasses.replace(other, load=other.load - own)
-        found.append(other)
-    return found
+        neighbours.append(other)
+    return neighbours
--- a/wisteriawood/machines/placers.py
+++ b/wisteriawood/machines/placers.py
@@ -1,4 +1,4 @@
-"""The placer: the part of a scheduler that decides what starts where."""
+"""Placer of a scheduler, which assigns waiting tasks to workers."""
 
 import random
 import time
@@ -26,14 +26,15 @@
     from wisteriawood.machines import schedulers
 
 QUEUE_POLL_PERIOD_S = 0.5
-# Time between rounds while a task waits for room that is being made.
+# Time between placement rounds while an urgent task has a reserved worker.
 URGENT_ROUND_PERIOD_S = 0.1
 USAGE_POLL_PERIOD_S = 1.0
-# Time after which the next scheduler of the zone tries to place a task.
+# Delay after which the next scheduler of the zone tries to place a task.
 NEXT_SCHEDULER_DELAY_S = 0.4
-# Time for which all workers must have been too small for a task before it
-# counts as impossible, since the host list lags.
+# Waiting time before a task that is larger than every worker is declared
+# impossible, since the host list lags.
 IMPOSSIBLE_AFTER_S = 5.0
+# Time for which the capacity of a worker counts after it was last listed.
 CAPACITY_RETENTION_S = 600.0
 MIN_WEIGHT = 0.01
 UNLIMITED = 2**62
@@ -42,11 +43,11 @@
 
 
 def make_quota(name: str, team: configuration.Team) -> quotas.Quota:
-    """Return the quota that the configuration gives a team.
+    """Return the quota of a team from its configuration.
 
     Args:
         name: Name of the team.
-        team: Its configuration.
+        team: Configuration of the team.
     """
     limits = (
         team.quota.cores,
@@ -70,19 +71,23 @@
         throughput_weight=team.weights.batch_throughput,
         eviction_weight=team.weights.evictions,
         not_evicted=frozenset(
-            task_class for task_class, found in classes if not found.resumable
+            class_name
+            for class_name, batch_class in classes
+            if not batch_class.resumable
         ),
         not_throttled=frozenset(
-            task_class for task_class, found in classes if not found.throttled
+            class_name
+            for class_name, batch_class in classes
+            if not batch_class.throttled
         ),
     )
 
 
 class Placer:
-    """Reads the queue of one zone and places what waits in it.
+    """Reads the queue of one zone and assigns its tasks to workers.
 
     Args:
-        scheduler: The scheduler whose workers it places on.
+        scheduler: The scheduler on whose workers tasks are placed.
         rng: Source of random numbers.
         policy: Name of the placement policy.
     """
@@ -114,11 +119,11 @@
 
     @property
     def pending(self) -> dict[str, queues.WaitingTask]:
-        """Tasks that wait for a worker, by id."""
+        """Waiting tasks by id."""
         return self.allocator.queue.waiting
 
     def explain(self, task: str) -> str:
-        """Return why a task waits; empty if it does not wait here.
+        """Return why a task waits here, or an empty string if it does not.
 
         Args:
             task: Id of the task.
@@ -127,10 +132,10 @@
         return waiting.reason if waiting is not None else ""
 
     def see_hosts(self, hosts: list[platforms.Host]) -> None:
-        """Take over how large the workers of the zone are.
+        """Update the capacities of the zone's workers.
 
         Args:
-            hosts: The platform's host list.
+            hosts: Host list of the platform.
         """
         now_s = anyio.current_time()
         total = resources.NOTHING
@@ -142,11 +147,12 @@
         self.allocator.zone_capacity = total
 
     def observe_latency(self, target: str, slowdown: float) -> None:
-        """Take over how much slower a target answers than its peers.
+        """Record how much slower a target answers than its peers.
 
         Args:
             target: Id of the target, as task.attempt.
-            slowdown: Its latency against theirs; 1 for none.
+            slowdown: Latency of the target divided by that of its peers; 1
+                means that it is not slower.
         """
         self.monitor.observe_latency(
             target.rpartition(".")[0],
@@ -155,20 +161,20 @@
         )
 
     def note_success(self, task: str, worker: str) -> None:
-        """Take over that an attempt finished.
+        """Record that an attempt finished.
 
         Args:
             task: Id of the task.
-            worker: Name of its worker.
+            worker: Name of the worker that ran it.
         """
         self.allocator.probations.record_success(worker=worker, task=task)
 
     def note_failure(self, task: str, worker: str) -> None:
-        """Take over that an attempt failed.
+        """Record that an attempt failed.
 
         Args:
             task: Id of the task.
-            worker: Name of its worker.
+            worker: Name of the worker that ran it.
         """
         is_new = self.allocator.probations.record_failure(
             worker=worker,
@@ -211,12 +217,12 @@
 
     async def _read_queue(self) -> None:
         scheduler = self._scheduler
-        found = await platforms.scan_all(
+        pending_rows = await platforms.scan_all(
             scheduler.platform, keys.pendings(scheduler.zone)
         )
         now_s = anyio.current_time()
         seen = set()
-        for row in found:
+        for row in pending_rows:
             task_id = row.key.rpartition("/")[2]
             seen.add(task_id)
             old = self.pending.get(task_id)
@@ -236,7 +242,7 @@
         self._queue_changed.set()
 
     def _rank(self, task_id: str) -> int:
-        """Return how many schedulers with racks come before this one."""
+        """Return how many schedulers with racks try to place a task first."""
         scheduler = self._scheduler
         own = scheduler.membership.own.name
         return claims.rank(scheduler.rack_holders | {own}, own, task_id)
@@ -267,7 +273,8 @@
     async def _assign(self, start: allocators.Start) -> None:
         placement = start.placement
         task_id = placement.task.spec.id
-        # A row read before the commit would be placed a second time.
+        # A scan that started before the commit may still return the row, and
+        # the task would be placed twice.
         self._assigned_versions[task_id] = placement.version
         await self._scheduler.assign(start.worker, placement)
         if placement.is_committed:
@@ -290,7 +297,7 @@
             if now_s - seen_s < CAPACITY_RETENTION_S
         }
         if not self._capacity_seen_s:
-            waiting.reason = "the host list names no worker in this zone"
+            waiting.reason = "the host list has no workers in this zone"
             return
         if any(needs.fits(capacity) for capacity in self._capacity_seen_s):
             return
--- a/wisteriawood/machines/probes.py
+++ b/wisteriawood/machines/probes.py
@@ -1,20 +1,20 @@
-"""Slow start of task classes whose sizes are not known yet."""
+"""Slow start of task classes whose resource use is not yet known."""
 
 from wisteriawood.contracts import tasks
 from wisteriawood.machines import indexes
 from wisteriawood.policies import sizes
 
-# Tasks of a class not yet known that may run unmeasured, and the time after
-# which one counts as measured though no report came.
+# Tasks of an unknown class that may run without a usage report, and the time
+# after which one no longer counts, even without a report.
 MAX_UNMEASURED_TASKS = 8
 MEASUREMENT_TIMEOUT_S = 15.0
 
 
 class Probes:
-    """Tasks that run unmeasured, by class.
+    """Limits the tasks of unknown classes that run without a usage report.
 
     Args:
-        learned: Tells which classes are known.
+        learned: Resource use learned so far, by class.
     """
 
     __slots__ = ("_running", "_sizes")
@@ -24,10 +24,10 @@
         self._sizes = learned
 
     def may_start(self, spec: tasks.TaskSpec, *, now_s: float) -> bool:
-        """Tell whether one more task of a class may start.
+        """Return whether one more task of a class may start.
 
         Args:
-            spec: The task; an urgent one always may.
+            spec: The task; an urgent one may always start.
             now_s: Monotonic time in seconds.
         """
         name = indexes.class_of(spec)
@@ -42,7 +42,7 @@
         return len(running) < MAX_UNMEASURED_TASKS
 
     def start(self, spec: tasks.TaskSpec, *, now_s: float) -> None:
-        """Take over that a task starts.
+        """Record that a task starts.
 
         Args:
             spec: The task.
@@ -53,7 +53,7 @@
             self._running.setdefault(name, {})[spec.id] = now_s
 
     def finish(self, spec: tasks.TaskSpec) -> None:
-        """Take over that a task's size was seen.
+        """Record that the resource use of a task has been measured.
 
         Args:
             spec: The task.
@@ -63,7 +63,7 @@
             running.pop(spec.id, None)
 
     def keep_only(self, placed: set[str]) -> None:
-        """Forget the tasks that have left.
+        """Discard the state of tasks that are no longer on a worker.
 
         Args:
             placed: Ids of the tasks that are on workers.
--- a/wisteriawood/machines/queues.py
+++ b/wisteriawood/machines/queues.py
@@ -1,4 +1,4 @@
-"""The queue of tasks that wait, fair between teams."""
+"""Queue of waiting tasks, with fair sharing between teams."""
 
 import dataclasses
 import heapq
@@ -8,10 +8,10 @@
 
 from wisteriawood.contracts import tasks
 
-# One step of priority is worth this much waiting, so that nothing of low
-# priority waits for ever.
+# Waiting time that equals one step of priority, so that tasks of low priority
+# do not wait forever.
 WAIT_PER_PRIORITY_S = 60.0
-# Tasks of one team that are looked at in one round.
+# Tasks of one team considered in one placement round.
 MAX_TASKS_PER_TEAM = 256
 
 
@@ -21,13 +21,13 @@
 
     Attributes:
         task: The task.
-        version: Version of its row.
-        since_s: Monotonic time at which it was first seen.
-        reason: Why it waits, for the operator.
-        reserved: Worker that is kept for it; empty if none is.
-        reserved_s: Monotonic time of the reservation.
-        is_short: Whether it waits for room, not for something else.
-        turn_s: Waiting time after which this scheduler may place it.
+        version: Version of the task's row.
+        since_s: Monotonic time at which the task was first seen.
+        reason: Why it waits, shown to the operator.
+        reserved_worker: Worker that is reserved for it; empty if none.
+        reserved_at_s: Monotonic time of the reservation.
+        lacks_capacity: Whether it waits because no worker has enough free.
+        min_wait_s: Waiting time after which this scheduler may place it.
     """
 
     task: tasks.Task
@@ -39,14 +39,14 @@
     lacks_capacity: bool = False
     min_wait_s: float = 0.0
 
-    def order(self) -> tuple[float, str]:
-        """Return the key of its place within the team."""
+    def sort_key(self) -> tuple[float, str]:
+        """Return the key that orders the tasks of a team."""
         spec = self.task.spec
         return self.since_s - spec.priority * WAIT_PER_PRIORITY_S, spec.id
 
 
 class Queue:
-    """Tasks that wait: urgent ones first, then teams by their share."""
+    """Waiting tasks: urgent ones first, then teams by their share."""
 
     __slots__ = ("_teams", "_urgent", "waiting")
 
@@ -57,7 +57,7 @@
 
     @staticmethod
     def _new_list() -> sortedcontainers.SortedKeyList:
-        return sortedcontainers.SortedKeyList(key=WaitingTask.order)
+        return sortedcontainers.SortedKeyList(key=WaitingTask.sort_key)
 
     def __len__(self) -> int:
         return len(self.waiting)
@@ -71,15 +71,15 @@
     def add(
         self, task: tasks.Task, *, version: int, now_s: float
     ) -> WaitingTask:
-        """Add a task, or take over its changed row.
+        """Add a task, or update it from a newer version of its row.
 
         Args:
             task: The task.
-            version: Version of its row.
+            version: Version of the task's row.
             now_s: Monotonic time in seconds.
 
         Returns:
-            Its entry; one that waited already keeps its place in time.
+            The queue entry; an updated task keeps its waiting time.
         """
         old = self.discard(task.spec.id)
         waiting = WaitingTask(task=task, version=version, since_s=now_s)
@@ -94,52 +94,52 @@
         return waiting
 
     def discard(self, task: str) -> WaitingTask | None:
-        """Take a task out.
+        """Remove a task.
 
         Args:
             task: Id of the task.
 
         Returns:
-            Its entry, or None if it did not wait.
+            The removed entry, or None if the task was not in the queue.
         """
         waiting = self.waiting.pop(task, None)
         if waiting is None:
             return None
-        found = self._list_of(waiting)
-        found.remove(waiting)
-        if not found and found is not self._urgent:
+        entries = self._list_of(waiting)
+        entries.remove(waiting)
+        if not entries and entries is not self._urgent:
             del self._teams[waiting.task.spec.team]
         return waiting
 
     def teams(self) -> list[str]:
-        """Return the teams whose tasks wait, urgent ones aside."""
+        """Return the teams with waiting tasks that are not urgent."""
         return list(self._teams)
 
     def urgent(self) -> list[WaitingTask]:
-        """Return the urgent tasks in order."""
+        """Return the urgent tasks in the order of placement."""
         return list(self._urgent)
 
     def by_share(
         self, share: typing.Callable[[str], float]
     ) -> typing.Iterator[WaitingTask]:
-        """Yield tasks that are not urgent, fair between teams.
+        """Yield tasks that are not urgent, the team of least share first.
 
-        The team with the least share comes next; its share is asked for
-        anew after each of its tasks, so that a task that was placed counts.
+        The share of a team is read again after each of its tasks, so that
+        tasks placed in the meantime count.
 
         Args:
             share: Returns the weighted dominant share of a team.
         """
         heads = [
-            (share(team), team, 0, list(found.islice(0, MAX_TASKS_PER_TEAM)))
-            for team, found in self._teams.items()
+            (share(team), team, 0, list(queued.islice(0, MAX_TASKS_PER_TEAM)))
+            for team, queued in self._teams.items()
         ]
         heapq.heapify(heads)
         while heads:
-            _share, team, place, found = heads[0]
-            yield found[place]
-            if place + 1 < len(found):
-                head = (share(team), team, place + 1, found)
+            _share, team, position, queued = heads[0]
+            yield queued[position]
+            if position + 1 < len(queued):
+                head = (share(team), team, position + 1, queued)
                 heapq.heapreplace(heads, head)
             else:
                 heapq.heappop(heads)
--- a/wisteriawood/machines/workers.py
+++ b/wisteriawood/machines/workers.py
@@ -1,4 +1,4 @@
-"""Workers, as the scheduler that holds their rack sees them."""
+"""Workers as tracked by the scheduler that holds their rack."""
 
 import dataclasses
 
@@ -12,28 +12,30 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Placement:
-    """A task on a worker; its resources count until the proof of stop.
+    """A task on a worker.
+
+    Its resources stay allocated until the attempt is known to have stopped.
 
     Attributes:
         task: The task.
         version: Version of the task's row.
-        counted: Resources that it counts with.
-        is_committed: Whether the assignment is in the table.
-        lease_ends_s: Monotonic time at which its newest lease lapses.
-        eviction: Why it is to be evicted; empty if it is not.
-        is_cancelled: Whether an operator asked to stop it.
+        counted: Resources allocated to the task.
+        is_committed: Whether the assignment is committed to the table.
+        lease_ends_s: Monotonic time at which the newest lease expires.
+        eviction: Reason of its eviction; empty if it is not to be evicted.
+        is_cancelled: Whether an operator cancelled it.
         throttle: Share of its resources that it may use, 0 to 1.
         is_adopted: Whether a former holder of the rack started it.
-        not_after_s: Monotonic time after which no start command that is
-            under way can take effect any more.
-        stop_not_before_s: Monotonic time before which it is not stopped,
-            so that its requests in flight can end; 0 if not yet chosen.
-        boot: Start of the worker that the start command was sent to.
-        is_started: Whether the worker has taken the start command.
-        refusals: Start commands that the worker has refused.
-        change: Change of state that waits for its commit, if any.
-        changed: The task as it will be once that is committed.
-        is_ending: Whether that change takes the task from the worker.
+        not_after_s: Monotonic time after which a start command in flight has
+            no effect.
+        stop_not_before_s: Earliest monotonic time at which it is stopped, so
+            that its requests in flight can complete; 0 if not set.
+        boot: Boot of the worker to which the start command was sent.
+        is_started: Whether the worker accepted the start command.
+        refusals: Number of start commands that the worker refused.
+        change: State change that waits for its commit, if any.
+        changed: The task as it will be after that commit.
+        is_ending: Whether that change removes the task from the worker.
         traceparent: W3C trace context of the assignment.
     """
 
@@ -57,19 +59,19 @@
     traceparent: str = ""
 
     def is_unwanted(self) -> bool:
-        """Tell whether the task is to leave the worker."""
+        """Return whether the task is to be stopped on this worker."""
         return self.is_cancelled or bool(self.eviction)
 
 
 class Worker:
-    """A worker and what is placed on it.
+    """A worker and the tasks placed on it.
 
     Args:
         name: Name of the worker.
         rack: Name of its rack.
         address: Address of the worker, as host:port.
-        capacity: What it can hold.
-        link: Link to it.
+        capacity: Resources of the worker.
+        link: Link to the worker.
     """
 
     __slots__ = (
@@ -111,24 +113,24 @@
         self.placements: dict[str, Placement] = {}
         self.usage: dict[str, workers.UsageReport] = {}
         self.usage_due_s = 0.0
-        # Needs of running attempts that no row of ours explains.
+        # Needs of running attempts that match no task row of this scheduler.
         self.strangers = resources.NOTHING
-        # Worker's clock less the own one, never more than it really is.
+        # Clock of the worker minus the local one; never above the true offset.
         self.to_worker_s = 0.0
-        # Of renewals without an answer: when the newest lapses in flight,
-        # and when the longest lease that one may have given ends.
+        # For renewals without an answer: the latest time at which one can
+        # still take effect, and the latest end of a lease that one may grant.
         self.unacked_not_after_s = 0.0
         self.unacked_ends_s = 0.0
         self.wakeup = anyio.Event()
 
     def add(self, placement: Placement) -> bool:
-        """Count a task's resources against the worker.
+        """Allocate resources of the worker to a task.
 
         Args:
-            placement: The task on this worker.
+            placement: The placement of the task.
 
         Returns:
-            False if the task is here already; then nothing changes.
+            False if the task is already on the worker; nothing changes then.
         """
         if placement.task.spec.id in self.placements:
             return False
@@ -139,15 +141,15 @@
     def count_unacked(
         self, not_after_s: float, ends_s: float
     ) -> tuple[float, float]:
-        """Count a renewal with the longest lease that it may give.
+        """Record a renewal that is sent, and the longest lease it may grant.
 
         Args:
-            not_after_s: Monotonic time after which it has no effect.
-            ends_s: Monotonic time at which its lease ends at the latest.
+            not_after_s: Monotonic time after which the renewal has no effect.
+            ends_s: Latest monotonic time at which its lease ends.
 
         Returns:
-            The two bounds as they were before, to be put back once the
-            renewal is answered.
+            The two previous bounds, to be restored when the renewal is
+            answered.
         """
         before = (self.unacked_not_after_s, self.unacked_ends_s)
         self.unacked_not_after_s = max(before[0], not_after_s)
@@ -155,18 +157,18 @@
         return before
 
     def is_moved(self, address: str) -> bool:
-        """Tell whether the worker is elsewhere now, with nothing left here.
+        """Return whether an empty worker has a new address.
 
         Args:
-            address: Its address in the host list.
+            address: Address of the worker in the host list.
         """
         return address != self.address and not self.placements
 
     def see_leaving(self, leaving: bool) -> None:
-        """Take over whether it will go away; then its tasks move.
+        """Update whether the worker is leaving, and evict its tasks if so.
 
         Args:
-            leaving: What the host list says.
+            leaving: Whether the host list marks the worker as leaving.
         """
         self.leaving = leaving
         if leaving:
@@ -174,29 +176,29 @@
                 self.order_eviction(task, "its worker is leaving")
 
     def see_capacity(self, capacity: resources.Resources) -> None:
-        """Take over what the worker itself says that it offers."""
+        """Update the capacity from the worker's own report."""
         if capacity != self.capacity:
             self.free = self.free + capacity - self.capacity
             self.capacity = capacity
 
     def count_strangers(self, needs: resources.Resources) -> None:
-        """Count what attempts without a row use, until they stop.
+        """Allocate resources to attempts without a task row until they stop.
 
         Args:
-            needs: Their needs in all.
+            needs: Total needs of these attempts.
         """
         if needs != self.strangers:
             self.free = self.free + self.strangers - needs
             self.strangers = needs
 
     def remove(self, task: str) -> Placement | None:
-        """Stop counting a task, once it is proved stopped.
+        """Free the resources of a task that is known to have stopped.
 
         Args:
             task: Id of the task.
 
         Returns:
-            The placement, or None if there was none.
+            The removed placement, or None if there was none.
         """
         placement = self.placements.pop(task, None)
         if placement is not None:
@@ -204,17 +206,19 @@
         return placement
 
     def order_eviction(self, task: str, reason: str) -> bool:
-        """Let the worker's task evict a task from here.
+        """Order the eviction of a task.
 
-        It writes a checkpoint, stops the attempt and, once the stop is
-        proved, puts the task back into the queue.
+        The coroutine that serves this worker writes a checkpoint, stops the
+        attempt and, once the attempt is known to have stopped, returns the
+        task to the queue.
 
         Args:
             task: Id of the task.
-            reason: Why, for the operator.
+            reason: Reason shown to the operator.
 
         Returns:
-            Whether the task is here; its order may stand already.
+            Whether the task is on the worker, even if its eviction was
+            ordered before.
         """
         placement = self.placements.get(task)
         if placement is None:
@@ -225,7 +229,7 @@
         return True
 
     def order_cancel(self, task: str) -> None:
-        """Let the worker's task stop a task for good.
+        """Order the cancellation of a task.
 
         Args:
             task: Id of the task.
@@ -236,14 +240,16 @@
             self.wake()
 
     def order_throttle(self, task: str, share: float) -> bool:
-        """Let the worker's task limit a task; sent until it is in force.
+        """Order the throttling of a task.
+
+        The limit is sent again until the worker reports it.
 
         Args:
             task: Id of the task.
             share: Share of its resources that it may use, 0 to 1.
 
         Returns:
-            Whether the task is here.
+            Whether the task is on the worker.
         """
         placement = self.placements.get(task)
         if placement is None:
@@ -254,6 +260,6 @@
         return True
 
     def wake(self) -> None:
-        """Let the worker's task act at once."""
+        """Wake the coroutine that serves this worker."""
         self.wakeup.set()
         self.wakeup = anyio.Event()
--- a/wisteriawood/tests/interference_tests.py
+++ b/wisteriawood/tests/interference_tests.py
@@ -24,25 +24,27 @@
 
 class EstimateTests(unittest.TestCase):
 
-    def test_hidden_pairs_are_learned_from_mixed_neighbours(self):
+    def test_harm_of_each_class_is_learned_from_mixed_neighbours(self):
         rng = random.Random(4)
-        hidden = {"calm": 0.1, "noisy": 1.5, "medium": 0.6}
+        true_harms = {"calm": 0.1, "noisy": 1.5, "medium": 0.6}
         estimates = interference.PairEstimates()
         for now_s in range(600):
-            beside = [
+            neighbours = [
                 interference.Neighbour(name=name, load=rng.uniform(0, 0.4))
-                for name in hidden
+                for name in true_harms
             ]
-            total = sum(hidden[other.name] * other.load for other in beside)
+            total = sum(
+                true_harms[other.name] * other.load for other in neighbours
+            )
             slowdown = math.exp(total + rng.gauss(0, 0.03))
             estimates.observe(
-                "shop", beside, slowdown=slowdown, now_s=float(now_s)
+                "shop", neighbours, slowdown=slowdown, now_s=float(now_s)
             )
-        for name, harm in hidden.items():
-            found = estimates.harm("shop", name, 600.0)
-            self.assertAlmostEqual(harm, found, delta=0.2)
+        for name, harm in true_harms.items():
+            learned = estimates.harm("shop", name, 600.0)
+            self.assertAlmostEqual(harm, learned, delta=0.2)
 
-    def test_new_pair_starts_from_what_its_aggressor_does_to_others(self):
+    def test_new_pair_starts_from_harm_of_aggressor_to_others(self):
         estimates = interference.PairEstimates()
         noisy = interference.Neighbour(name="noisy", load=0.5)
         for now_s in range(200):
@@ -51,7 +53,7 @@
         self.assertGreater(new, 2 * interference.PRIOR)
         self.assertLess(new, estimates.harm("a", "noisy", 200.0))
 
-    def test_what_is_learned_of_a_pair_decays(self):
+    def test_learned_harm_decays(self):
         estimates = interference.PairEstimates()
         noisy = interference.Neighbour(name="noisy", load=0.5)
         for now_s in range(20):
@@ -63,7 +65,7 @@
 
 class StepDownTests(unittest.TestCase):
 
-    def test_worst_job_is_throttled_first_and_orders_settle(self):
+    def test_worst_job_is_throttled_first_and_then_observed(self):
         policy = step_down.StepDown()
         view = _view(1.05, {"a": 1.0, "b": 1.0}, now_s=10.0)
         view.culprits[1].harm = 0.4
@@ -84,7 +86,7 @@
         self.assertEqual({"a": step_down.LEAST_SHARE}, shares)
         self.assertGreaterEqual(now_s, step_down.EVICT_AFTER_S)
 
-    def test_batch_that_is_not_the_cause_is_left_alone(self):
+    def test_batch_that_is_not_the_cause_is_not_limited(self):
         policy = step_down.StepDown()
         for now_s in range(120):
             view = _view(1.3, {"a": 1.0}, now_s=float(now_s), harm=0.001)
@@ -92,13 +94,13 @@
             self.assertEqual([], verdict.throttles)
             self.assertFalse(verdict.evict)
 
-    def test_nothing_flaps_around_the_limit(self):
+    def test_throttling_does_not_oscillate_around_the_limit(self):
         rng = random.Random(7)
         policy = step_down.StepDown()
         shares = {"a": 1.0, "b": 1.0}
         orders = 0
         for now_s in range(1200):
-            # Slowed beyond the limit whenever both run at full share.
+            # The limit is exceeded whenever both jobs run at full share.
             harm = 0.1 * sum(shares.values())
             excess = math.exp(harm - 0.14 + rng.gauss(0, 0.01))
             view = _view(excess, shares, now_s=float(now_s), harm=0.1)
@@ -107,7 +109,7 @@
                 orders += 1
         self.assertLess(orders, 12)
 
-    def test_share_comes_back_after_the_cause_is_gone(self):
+    def test_share_is_restored_after_the_cause_ends(self):
         policy = step_down.StepDown()
         shares = {"a": 1.0}
         for now_s in range(200):
@@ -126,7 +128,7 @@
             spec=spec, worker="w", counted=spec.needs, **fields
         )
 
-    def test_no_policy_takes_a_watcher_before_batch(self):
+    def test_no_policy_evicts_a_watcher_before_batch(self):
         builders.make_allocator()
         for name in eviction_base.EVICTION.names():
             policy = eviction_base.EVICTION.get(name)(
@@ -137,13 +139,13 @@
                 self._victim("old", elapsed_s=9000.0),
                 self._victim("new", elapsed_s=1.0),
             ]
-            found = eviction_base.in_order(policy, victims)
+            ordered = eviction_base.in_order(policy, victims)
             with self.subTest(policy=name):
-                self.assertEqual("watcher", found[-1].spec.id)
+                self.assertEqual("watcher", ordered[-1].spec.id)
                 if name != "random":
-                    self.assertEqual("new", found[0].spec.id)
+                    self.assertEqual("new", ordered[0].spec.id)
 
-    def test_plan_takes_the_least_that_makes_room(self):
+    def test_plan_evicts_no_more_than_needed(self):
         (worker,) = builders.make_workers(1)
         for number, cores in enumerate((4.0, 8.0, 52.0)):
             needs = builders.make_resources(cores=cores)
@@ -158,7 +160,7 @@
         ordered = [t for t, p in worker.placements.items() if p.eviction]
         self.assertEqual(["t-1"], ordered)
 
-    def test_classes_that_are_not_resumable_stay(self):
+    def test_classes_that_are_not_resumable_are_not_evicted(self):
         (worker,) = builders.make_workers(1)
         needs = builders.make_resources(cores=64.0)
         kept = builders.make_spec(id="k", needs=needs, task_class="bundle")
@@ -192,14 +194,14 @@
             monitor.observe(worker, [report], now_s=float(now_s))
         return worker.placements["j"]
 
-    def test_slowed_service_gets_its_neighbour_throttled(self):
+    def test_neighbour_of_slowed_service_is_throttled(self):
         self.assertLess(self._run(latency=0.0).throttle, 1.0)
 
-    def test_latency_at_entry_hosts_goes_before_lagging_usage(self):
+    def test_latency_at_entry_hosts_overrides_lagging_usage(self):
         self.assertEqual(1.0, self._run(latency=1.0).throttle)
         self.assertLess(self._run(latency=1.5, speed=1.0).throttle, 1.0)
 
-    def test_jobs_get_their_share_back_when_services_leave(self):
+    def test_throttling_ends_when_services_leave(self):
         (worker,) = builders.make_workers(1)
         placement = builders.place_on(worker, builders.make_spec())
         placement.throttle = 0.25
--- a/wisteriawood/tests/placement_tests.py
+++ b/wisteriawood/tests/placement_tests.py
@@ -29,10 +29,10 @@
 
     def test_sample_agrees_with_a_scan(self):
         rng = random.Random(5)
-        found = builders.make_workers(60)
+        workers = builders.make_workers(60)
         index = indexes.WorkerIndex(rng=rng)
         for number in range(400):
-            worker = rng.choice(found)
+            worker = rng.choice(workers)
             if worker.placements and rng.random() < 0.4:
                 worker.remove(rng.choice(list(worker.placements)))
             else:
@@ -44,7 +44,7 @@
                 if needs.fits(worker.free):
                     builders.place_on(worker, spec)
             worker.leaving = rng.random() < 0.05
-            index.refresh(found)
+            index.refresh(workers)
             wanted = builders.make_resources(
                 cores=rng.uniform(0.5, 64),
                 memory_bytes=rng.randint(1, 250) * GIB,
@@ -57,7 +57,7 @@
             )
             self.assertEqual(len(drawn), len({id(e) for e in drawn}))
 
-    def test_full_worker_is_not_drawn_though_filed_as_free(self):
+    def test_sample_skips_worker_filled_since_last_update(self):
         (worker,) = builders.make_workers(1)
         index = indexes.WorkerIndex(rng=random.Random(1))
         index.refresh([worker])
@@ -65,17 +65,17 @@
         builders.place_on(worker, builders.make_spec(needs=needs))
         self.assertEqual([], index.sample(needs, 4))
 
-    def test_used_shares_follow_tasks_and_workers(self):
-        found = builders.make_workers(2)
+    def test_team_share_follows_tasks_and_workers(self):
+        workers = builders.make_workers(2)
         index = indexes.WorkerIndex(rng=random.Random(1))
         needs = builders.make_resources(cores=32.0)
-        builders.place_on(found[0], builders.make_spec(needs=needs))
-        index.refresh(found)
+        builders.place_on(workers[0], builders.make_spec(needs=needs))
+        index.refresh(workers)
         self.assertEqual(0.25, index.team_share("vitrinenklima"))
-        index.refresh(found[:1])
+        index.refresh(workers[:1])
         self.assertEqual(0.5, index.team_share("vitrinenklima"))
-        found[0].remove("task-1")
-        index.refresh(found[:1])
+        workers[0].remove("task-1")
+        index.refresh(workers[:1])
         self.assertEqual(0.0, index.team_share("vitrinenklima"))
 
 
@@ -92,8 +92,8 @@
             capacity = builders.make_resources(
                 cores=64.0, memory_bytes=250 * GIB, accelerators=4
             )
-            found = builders.make_workers(10, capacity=capacity)
-            allocator = builders.make_allocator(found, placement=policy)
+            workers = builders.make_workers(10, capacity=capacity)
+            allocator = builders.make_allocator(workers, placement=policy)
             for number in range(400):
                 needs = builders.make_resources(
                     cores=rng.choice((0.5, 3.0, 17.0)),
@@ -107,33 +107,33 @@
                 builders.enqueue(allocator, spec)
             allocator.place(now_s=0.0)
             with self.subTest(policy=policy):
-                self.assertTrue(any(w.placements for w in found))
-                for worker in found:
+                self.assertTrue(any(w.placements for w in workers))
+                for worker in workers:
                     self.assertTrue(resources.NOTHING.fits(worker.free))
 
     def test_services_are_spread_over_racks(self):
-        found = builders.make_workers(24)
-        allocator = builders.make_allocator(found)
+        workers = builders.make_workers(24)
+        allocator = builders.make_allocator(workers)
         for number in range(12):
             builders.enqueue(allocator, _service(number))
         racks = [s.worker.rack for s in allocator.place(now_s=0.0)]
         counts = sorted(racks.count(rack) for rack in set(racks))
         self.assertEqual([4, 4, 4], counts)
 
-    def test_leaving_unknown_and_failed_workers_get_nothing(self):
-        found = builders.make_workers(4)
-        found[0].leaving = True
-        found[1].is_known = False
-        allocator = builders.make_allocator(found)
+    def test_leaving_unknown_and_failed_workers_get_no_tasks(self):
+        workers = builders.make_workers(4)
+        workers[0].leaving = True
+        workers[1].is_known = False
+        allocator = builders.make_allocator(workers)
         waiting = builders.enqueue(allocator, builders.make_spec())
         waiting.task.failures = ["worker-2"]
         starts = allocator.place(now_s=0.0)
         self.assertEqual(["worker-3"], _workers_of(starts))
 
-    def test_noisy_neighbour_is_kept_from_services(self):
-        found = builders.make_workers(2)
-        builders.place_on(found[0], _service(1, task_class="shop"))
-        allocator = builders.make_allocator(found)
+    def test_noisy_job_is_placed_apart_from_services(self):
+        workers = builders.make_workers(2)
+        builders.place_on(workers[0], _service(1, task_class="shop"))
+        allocator = builders.make_allocator(workers)
         noisy = interference.Neighbour(name="kroupa/noisy", load=0.125)
         for now_s in range(30):
             allocator.estimates.observe(
@@ -187,7 +187,7 @@
             )
             learned.observe("c", declared=declared, used=true)
 
-    def test_sizes_off_tenfold_either_way_are_learned(self):
+    def test_declared_sizes_wrong_by_ten_times_are_corrected(self):
         for factors in ((10.0,), (0.1,), (0.1, 10.0)):
             learned = sizes.Sizes()
             self._learn(learned, factors=factors)
@@ -195,21 +195,21 @@
                 declared = builders.make_resources(
                     cores=4.0 * factor, memory_bytes=int(8 * GIB * factor)
                 )
-                found = learned.predict("c", declared)
+                predicted = learned.predict("c", declared)
                 with self.subTest(factors=factors, factor=factor):
-                    self.assertAlmostEqual(4.0, found.cores, delta=0.8)
-                    self.assertGreater(found.memory_bytes, 8 * GIB)
-                    self.assertLess(found.memory_bytes, 11 * GIB)
+                    self.assertAlmostEqual(4.0, predicted.cores, delta=0.8)
+                    self.assertGreater(predicted.memory_bytes, 8 * GIB)
+                    self.assertLess(predicted.memory_bytes, 11 * GIB)
 
-    def test_few_samples_leave_the_declared_size(self):
+    def test_declared_size_is_used_with_few_samples(self):
         learned = sizes.Sizes()
         self._learn(learned, factors=(10.0,), count=3)
         declared = builders.make_resources(cores=40.0)
         self.assertIs(declared, learned.predict("c", declared))
 
     def test_unknown_class_starts_slowly(self):
-        found = builders.make_workers(8)
-        allocator = builders.make_allocator(found)
+        workers = builders.make_workers(8)
+        allocator = builders.make_allocator(workers)
         monitor = monitors.Monitor(allocator=allocator)
         specs = [
             builders.make_spec(id=f"t-{number}", task_class="new")
@@ -222,7 +222,7 @@
         )
         self.assertEqual([], allocator.place(now_s=1.0))
         for now_s in (2.0, 3.0):
-            for worker in found:
+            for worker in workers:
                 reports = [
                     builders.make_usage(p.task.spec, measured_s=now_s)
                     for p in worker.placements.values()
--- a/wisteriawood/tests/queues_tests.py
+++ b/wisteriawood/tests/queues_tests.py
@@ -16,11 +16,11 @@
 
 
 def _teams(starts):
-    found = {}
+    counts = {}
     for start in starts:
         team = start.placement.task.spec.team
-        found[team] = found.get(team, 0) + 1
-    return found
+        counts[team] = counts.get(team, 0) + 1
+    return counts
 
 
 def _eight_cores(id, **fields):
@@ -31,12 +31,12 @@
 class QueueTests(unittest.TestCase):
 
     def setUp(self):
-        # Most tests are not about classes that are new.
+        # Most tests do not cover the slow start of new classes.
         patcher = mock.patch.object(probes, "MAX_UNMEASURED_TASKS", 10_000)
         patcher.start()
         self.addCleanup(patcher.stop)
 
-    def test_flooding_team_gets_its_share_only(self):
+    def test_flooding_team_gets_only_its_share(self):
         allocator = builders.make_allocator(builders.make_workers(4))
         for number in range(500):
             spec = _eight_cores(f"flood-{number}", team="flood")
@@ -47,7 +47,7 @@
         teams = _teams(allocator.place(now_s=6.0))
         self.assertEqual({"flood": 16, "calm": 16}, teams)
 
-    def test_weights_divide_the_workers(self):
+    def test_weights_divide_the_workers_between_teams(self):
         shares = {"a": quotas.Quota(team="a", weight=3.0)}
         allocator = builders.make_allocator(
             builders.make_workers(4), team_quotas=quotas.Quotas(quotas=shares)
@@ -67,12 +67,12 @@
                 quotas={"a": quotas.Quota(team="a", limit=limit)}
             ),
         )
-        found = [
+        entries = [
             builders.enqueue(allocator, _eight_cores(f"a-{number}", team="a"))
             for number in range(4)
         ]
         self.assertEqual(2, len(allocator.place(now_s=1.0)))
-        self.assertIn("limit of its quota", found[3].reason)
+        self.assertIn("limit of its quota", entries[3].reason)
 
     def test_priority_goes_first_until_others_have_waited(self):
         allocator = builders.make_allocator(builders.make_workers(1))
@@ -96,9 +96,9 @@
         self.assertEqual(["high", "low", "late"], order)
         self.assertEqual(["high"], _started(allocator.place(now_s=91.0)))
 
-    def test_large_job_is_not_starved_by_small_ones(self):
-        found = builders.make_workers(4)
-        allocator = builders.make_allocator(found)
+    def test_large_job_starts_despite_steady_small_ones(self):
+        workers = builders.make_workers(4)
+        allocator = builders.make_allocator(workers)
         large = builders.make_spec(
             id="large", needs=builders.make_resources(cores=60.0)
         )
@@ -109,11 +109,11 @@
             builders.enqueue(allocator, spec, now_s=now_s)
             if now_s == 50:
                 builders.enqueue(allocator, large, now_s=now_s)
-            for worker in found:
+            for worker in workers:
                 for task_id in list(worker.placements):
                     if ends_s.get(task_id, 1e9) <= now_s:
                         worker.remove(task_id)
-            allocator.refresh(found, now_s=now_s)
+            allocator.refresh(workers, now_s=now_s)
             for task_id in _started(allocator.place(now_s=now_s)):
                 ends_s[task_id] = now_s + 40 + len(ends_s) % 7
                 if task_id == "large":
@@ -121,11 +121,11 @@
         self.assertIsNotNone(started_s)
         self.assertLess(started_s, 50 + 120)
 
-    def test_large_jobs_keep_few_workers_only(self):
-        found = builders.make_workers(10)
-        for worker in found:
+    def test_large_jobs_reserve_few_workers(self):
+        workers = builders.make_workers(10)
+        for worker in workers:
             builders.place_on(worker, _eight_cores(f"old-{worker.name}"))
-        allocator = builders.make_allocator(found)
+        allocator = builders.make_allocator(workers)
         for number in range(10):
             needs = builders.make_resources(cores=64.0)
             builders.enqueue(
@@ -133,44 +133,45 @@
                 builders.make_spec(id=f"large-{number}", needs=needs),
             )
         allocator.place(now_s=60.0)
-        kept = [
+        reserved = [
             entry
             for entry in allocator.index.entries.values()
             if entry.reserved_for
         ]
-        self.assertEqual(1, len(kept))
+        self.assertEqual(1, len(reserved))
         builders.enqueue(allocator, _eight_cores("small"), now_s=60.0)
         self.assertEqual(["small"], _started(allocator.place(now_s=61.0)))
 
-    def test_borrowed_share_is_taken_back(self):
-        found = builders.make_workers(2)
+    def test_borrowed_share_is_reclaimed(self):
+        workers = builders.make_workers(2)
         for number in range(16):
             builders.place_on(
-                found[number % 2], _eight_cores(f"b-{number}", team="borrower")
+                workers[number % 2],
+                _eight_cores(f"b-{number}", team="borrower"),
             )
-        allocator = builders.make_allocator(found)
+        allocator = builders.make_allocator(workers)
         for number in range(16):
             spec = _eight_cores(f"o-{number}", team="owner")
             builders.enqueue(allocator, spec)
         evicted = 0
         for now_s in range(1, 60):
-            allocator.refresh(found, now_s=now_s)
+            allocator.refresh(workers, now_s=now_s)
             allocator.place(now_s=now_s)
             if now_s <= 10:
                 continue
-            for worker in found:
+            for worker in workers:
                 for task_id, placement in list(worker.placements.items()):
                     if placement.eviction:
                         self.assertEqual("borrower", placement.task.spec.team)
                         worker.remove(task_id)
                         evicted += 1
-        # Half of the zone, and not one more.
+        # Exactly the owner's fair share, half of the zone, is reclaimed.
         self.assertEqual(8, evicted)
 
 
 class WaitingWorldTests(unittest.TestCase):
 
-    def test_impossible_job_is_told_once_and_never_tried(self):
+    def test_impossible_job_ends_without_an_attempt(self):
         async def _check(world):
             world.add_worker(builders.make_worker_host())
             scheduler = world.add_scheduler(builders.make_member())
@@ -226,7 +227,7 @@
 
         builders.run_world(_check)
 
-    def test_failing_worker_does_not_eat_the_queue(self):
+    def test_failing_worker_does_not_drain_the_queue(self):
         async def _check(world):
             bad = world.add_worker(builders.make_worker_host(name="bad"))
             world.add_worker(builders.make_worker_host(name="good-1"))
@@ -242,8 +243,8 @@
             for spec in specs:
                 task = await jobs.find(world.platform, spec.id)
                 self.assertEqual(tasks.TaskState.FINISHED, task.state)
-            # What was started before the first failures were seen, and a
-            # few tries after each probation.
+            # Attempts started before the first failures were recorded, and a
+            # few after each probation.
             self.assertLess(len(bad.records), 20)
 
         builders.run_world(_check)
@@ -251,46 +252,46 @@
 
 class ProbationTests(unittest.TestCase):
 
-    def _fail(self, found, worker, task, *, now_s=0.0, count=10):
-        return found.record_failure(
+    def _fail(self, tracker, worker, task, *, now_s=0.0, count=10):
+        return tracker.record_failure(
             worker=worker, task=task, now_s=now_s, worker_count=count
         )
 
-    def test_several_jobs_blame_the_worker(self):
-        found = probations.Probations()
-        self.assertFalse(self._fail(found, "w", "a"))
-        self.assertFalse(self._fail(found, "w", "a"))
-        self.assertFalse(self._fail(found, "w", "b"))
-        self.assertTrue(self._fail(found, "w", "c"))
-        self.assertTrue(found.is_on_probation("w", 59.0))
-        self.assertFalse(found.is_on_probation("w", 61.0))
-
-    def test_several_workers_blame_the_job(self):
-        found = probations.Probations()
+    def test_failures_of_several_jobs_put_worker_on_probation(self):
+        tracker = probations.Probations()
+        self.assertFalse(self._fail(tracker, "w", "a"))
+        self.assertFalse(self._fail(tracker, "w", "a"))
+        self.assertFalse(self._fail(tracker, "w", "b"))
+        self.assertTrue(self._fail(tracker, "w", "c"))
+        self.assertTrue(tracker.is_on_probation("w", 59.0))
+        self.assertFalse(tracker.is_on_probation("w", 61.0))
+
+    def test_job_that_fails_on_several_workers_is_faulty(self):
+        tracker = probations.Probations()
         for task in ("a", "b", "c"):
             for worker in ("w-1", "w-2", "w-3"):
-                self._fail(found, worker, task)
-        self.assertTrue(found.is_faulty("c"))
-        # The third worker's jobs were to blame by then.
-        self.assertFalse(found.is_on_probation("w-3", 1.0))
+                self._fail(tracker, worker, task)
+        self.assertTrue(tracker.is_faulty("c"))
+        # Each job counted as faulty once it failed on the third worker.
+        self.assertFalse(tracker.is_on_probation("w-3", 1.0))
 
-    def test_never_all_workers(self):
-        found = probations.Probations()
+    def test_probation_never_covers_all_workers(self):
+        tracker = probations.Probations()
         for worker in ("w-1", "w-2", "w-3"):
             for number in range(5):
-                self._fail(found, worker, f"{worker}-{number}", count=3)
+                self._fail(tracker, worker, f"{worker}-{number}", count=3)
         on_probation = [
             worker
             for worker in ("w-1", "w-2", "w-3")
-            if found.is_on_probation(worker, 1.0)
+            if tracker.is_on_probation(worker, 1.0)
         ]
         self.assertEqual(["w-1"], on_probation)
 
     def test_probation_doubles_and_success_ends_it(self):
-        found = probations.Probations()
+        tracker = probations.Probations()
         for number in range(3):
-            self._fail(found, "w", f"a-{number}")
-        self.assertTrue(self._fail(found, "w", "b", now_s=61.0))
-        self.assertTrue(found.is_on_probation("w", 61.0 + 119.0))
-        found.record_success(worker="w", task="b")
-        self.assertFalse(found.is_on_probation("w", 62.0))
+            self._fail(tracker, "w", f"a-{number}")
+        self.assertTrue(self._fail(tracker, "w", "b", now_s=61.0))
+        self.assertTrue(tracker.is_on_probation("w", 61.0 + 119.0))
+        tracker.record_success(worker="w", task="b")
+        self.assertFalse(tracker.is_on_probation("w", 62.0))
