--- a/wisteriawood/machines/evictions.py
+++ b/wisteriawood/machines/evictions.py
@@ -1,4 +1,4 @@
-"""Evictions: which tasks go, so that another finds room."""
+"""Selection of the tasks to evict so that another task fits."""
 
 import dataclasses
 import typing
@@ -10,12 +10,12 @@
 from wisteriawood.policies.eviction import base
 from wisteriawood.telemetry import events
 
-# Workers that are looked at for one plan.
-SAMPLE = 24
-# An eviction that has no effect for this long is ordered again.
-ORDER_AGAIN_S = 20.0
-# Cost of the eviction of a job whose team uses more than its share.
-OVER_SHARE_FACTOR = 0.25
+# Workers examined for one eviction plan or reservation.
+SAMPLE_SIZE = 24
+# Time after which an eviction that had no effect may be ordered again.
+ORDER_TIMEOUT_S = 20.0
+# Factor on the cost of evicting a job of a team above its fair share.
+OVER_SHARE_COST_FACTOR = 0.25
 
 _LOG = events.Logger(name=__name__)
 
@@ -27,7 +27,7 @@
     Attributes:
         entry: The worker's entry.
         victims: The tasks.
-        cost: What the policy says that they cost together.
+        cost: Total cost of the evictions, according to the policy.
     """
 
     entry: indexes.Entry
@@ -40,8 +40,8 @@
 
     Args:
         index: The workers.
-        policy: Says what an eviction costs.
-        team_quotas: Says which jobs are not evicted.
+        policy: Computes the cost of an eviction.
+        team_quotas: Quotas of the teams, with the classes never evicted.
     """
 
     __slots__ = ("_index", "_ordered_s", "_policy", "_quotas", "_started_s")
@@ -59,7 +59,7 @@
         self._ordered_s: dict[str, float] = {}
         self._started_s: dict[str, float] = {}
 
-    def note_start(self, task: str, *, now_s: float) -> None:
+    def record_start(self, task: str, *, now_s: float) -> None:
         """Record when a task was placed.
 
         Args:
@@ -69,7 +69,7 @@
         self._started_s[task] = now_s
 
     def keep_only(self, placed: set[str]) -> None:
-        """Forget the tasks that have left.
+        """Discard the state of tasks that are no longer on a worker.
 
         Args:
             placed: Ids of the tasks that are on workers.
@@ -78,8 +78,8 @@
             for task in known.keys() - placed:
                 del known[task]
 
-    def settle(self, *, now_s: float) -> None:
-        """Forget orders that had no effect, so that they are given again.
+    def expire_orders(self, *, now_s: float) -> None:
+        """Discard old orders, so that those without effect can be repeated.
 
         Args:
             now_s: Monotonic time in seconds.
@@ -87,11 +87,11 @@
         self._ordered_s = {
             task: at_s
             for task, at_s in self._ordered_s.items()
-            if now_s - at_s < ORDER_AGAIN_S
+            if now_s - at_s < ORDER_TIMEOUT_S
         }
 
     def is_ordered(self, task: str) -> bool:
-        """Tell whether a task is being evicted.
+        """Return whether the eviction of a task has been ordered.
 
         Args:
             task: Id of the task.
@@ -101,13 +101,16 @@
     def victims(
         self, entry: indexes.Entry, *, now_s: float
     ) -> list[base.Victim]:
-        """Return the batch jobs of a worker, the cheapest first.
+        """Return the batch jobs of a worker that may be evicted.
+
+        The cheapest to evict comes first. Urgent jobs, jobs already being
+        evicted and classes that the team's quota protects are left out.
 
         Args:
             entry: The worker's entry.
             now_s: Monotonic time in seconds.
         """
-        found = []
+        evictable = []
         for task_id, placement in entry.worker.placements.items():
             spec = placement.task.spec
             if spec.kind != tasks.TaskKind.BATCH or spec.urgent:
@@ -117,7 +120,7 @@
             if spec.task_class in self._quotas.of(spec.team).not_evicted:
                 continue
             started_s = self._started_s.setdefault(task_id, now_s)
-            found.append(
+            evictable.append(
                 base.Victim(
                     spec=spec,
                     worker=entry.worker.name,
@@ -125,7 +128,7 @@
                     elapsed_s=now_s - started_s,
                 )
             )
-        return base.in_order(self._policy, found)
+        return base.in_order(self._policy, evictable)
 
     def plan(
         self,
@@ -136,17 +139,17 @@
         only_over_share: bool,
         avoid: typing.AbstractSet[str] = frozenset(),
     ) -> Plan | None:
-        """Return the cheapest evictions that make room, or None.
+        """Return the cheapest plan that frees enough resources, or None.
 
         Args:
-            needs: The room.
+            needs: Resources that must be free afterwards.
             now_s: Monotonic time in seconds.
-            over_share: Tells whether a team uses more than its share.
-            only_over_share: Whether only jobs of such teams may go.
-            avoid: Workers on which the task failed.
+            over_share: Returns whether a team uses more than its fair share.
+            only_over_share: Whether only jobs of such teams may be evicted.
+            avoid: Workers on which the waiting task failed.
         """
         best = None
-        for entry in self._index.any_workers(SAMPLE):
+        for entry in self._index.sample_any(SAMPLE_SIZE):
             if entry.worker.name in avoid:
                 continue
             if not needs.fits(entry.worker.capacity):
@@ -169,31 +172,33 @@
         over_share: typing.Callable[[str], bool],
     ) -> Plan | None:
         free = entry.worker.free
-        taken: list[base.Victim] = []
+        chosen: list[base.Victim] = []
         for victim in victims:
             if needs.fits(free):
                 break
-            taken.append(victim)
+            chosen.append(victim)
             free = free + victim.counted
         if not needs.fits(free):
             return None
-        # What was taken first may not be needed beside what came later.
-        for victim in list(taken):
+        # A later, larger victim can make an earlier one unnecessary.
+        for victim in list(chosen):
             if needs.fits(free - victim.counted):
-                taken.remove(victim)
+                chosen.remove(victim)
                 free = free - victim.counted
         cost = 0.0
-        for victim in taken:
-            factor = OVER_SHARE_FACTOR if over_share(victim.spec.team) else 1
+        for victim in chosen:
+            factor = (
+                OVER_SHARE_COST_FACTOR if over_share(victim.spec.team) else 1
+            )
             cost += factor * self._policy.cost(victim)
-        return Plan(entry=entry, victims=taken, cost=cost)
+        return Plan(entry=entry, victims=chosen, cost=cost)
 
     def order(self, plan: Plan, *, reason: str, now_s: float) -> None:
         """Order the evictions of a plan.
 
         Args:
             plan: The plan.
-            reason: Why, for the operator.
+            reason: Reason shown to the operator.
             now_s: Monotonic time in seconds.
         """
         for victim in plan.victims:
@@ -209,16 +214,17 @@
         reason: str,
         now_s: float,
     ) -> bool:
-        """Order the eviction that frees services of most harm per cost.
+        """Order the eviction with the best ratio of harm to cost.
 
         Args:
             entry: The worker's entry.
-            harms: Predicted harm by id, of the tasks that may go.
-            reason: Why, for the operator.
+            harms: Predicted harm to services by task id, for the tasks that
+                may be evicted.
+            reason: Reason shown to the operator.
             now_s: Monotonic time in seconds.
 
         Returns:
-            Whether there was a job to evict.
+            Whether an eviction was ordered.
         """
         victims = [
             victim
@@ -237,14 +243,19 @@
         self.order(plan, reason=reason, now_s=now_s)
         return True
 
-    def soonest(self, needs: resources.Resources) -> indexes.Entry | None:
-        """Return a worker that will have room once its batch jobs end.
+    def find_worker_to_reserve(
+        self, needs: resources.Resources
+    ) -> indexes.Entry | None:
+        """Return a worker on which a task fits once the batch jobs end.
+
+        Of a sample of workers, the one with the most free cores is chosen;
+        None if no worker of the sample qualifies.
 
         Args:
-            needs: The room.
+            needs: Resources that the task needs.
         """
         best, most = None, -1.0
-        for entry in self._index.any_workers(SAMPLE):
+        for entry in self._index.sample_any(SAMPLE_SIZE):
             worker = entry.worker
             free = worker.free
             for placement in worker.placements.values():
--- a/wisteriawood/machines/indexes.py
+++ b/wisteriawood/machines/indexes.py
@@ -1,4 +1,4 @@
-"""The index of workers by what they have free."""
+"""Index of workers by their free resources."""
 
 import bisect
 import dataclasses
@@ -11,30 +11,34 @@
 from wisteriawood.machines import workers
 from wisteriawood.policies import interference
 
-# Two levels of free cores and one of free memory to each doubling.
-CORE_LEVELS = 2.0
+# Levels per doubling of the free cores. Free memory has one level per
+# doubling.
+CORE_LEVELS_PER_DOUBLING = 2.0
 MEMORY_UNIT_BYTES = 2**28
-# Workers looked at whose level is the one that the need itself falls in.
-EDGE_TRIES = 48
+# Workers sampled from the buckets that contain the needs themselves, where
+# only some of the workers have enough free.
+BORDERLINE_SAMPLE_SIZE = 48
 
 Level = tuple[int, int, int]
 
 
 def class_of(spec: tasks.TaskSpec) -> str:
-    """Return the class under which a task's behaviour is learned."""
+    """Return the class under which usage and slowdowns are learned."""
     name = spec.task_class or spec.service or spec.kind.value
     return f"{spec.team}/{name}"
 
 
 def group_of(spec: tasks.TaskSpec) -> str:
-    """Return the group that is spread over racks; empty for batch."""
+    """Return the group to spread over racks, or empty for batch tasks."""
     if spec.kind == tasks.TaskKind.BATCH:
         return ""
     return f"{spec.kind.value}/{class_of(spec)}"
 
 
-def share_of(used: resources.Resources, total: resources.Resources) -> float:
-    """Return the dominant share that an amount is of a total."""
+def dominant_share(
+    used: resources.Resources, total: resources.Resources
+) -> float:
+    """Return the dominant share: the largest share of any one resource."""
     return max(
         used.cores / total.cores if total.cores else 0.0,
         used.memory_bytes / total.memory_bytes if total.memory_bytes else 0.0,
@@ -43,7 +47,7 @@
 
 
 def load_of(placement: workers.Placement, worker: workers.Worker) -> float:
-    """Return the cores that a task may use, as a share of the worker's."""
+    """Return the share of a worker's cores that a task may use."""
     cores = placement.counted.cores * placement.throttle
     return cores / max(worker.capacity.cores, 1.0)
 
@@ -52,7 +56,7 @@
     cores = max(amount.cores, 0.125)
     memory = max(amount.memory_bytes / MEMORY_UNIT_BYTES, 1.0)
     return (
-        rounding(CORE_LEVELS * math.log2(cores)),
+        rounding(CORE_LEVELS_PER_DOUBLING * math.log2(cores)),
         rounding(math.log2(memory)),
         min(max(amount.accelerators, 0), 8),
     )
@@ -64,24 +68,25 @@
 
     Attributes:
         worker: The worker.
-        free: What it had free when it was last looked at.
+        free: Free resources at the last update.
         level: Key of its bucket; None while it is in no bucket.
-        place: Its place in the bucket.
-        reserved: Task that it is kept for; empty if for none.
-        used: What each team uses of it.
-        groups: Instances of each group on it.
-        neighbours: Classes on it and their loads.
+        position: Position in the bucket.
+        reserved_for: Task for which it is reserved; empty if none.
+        used: Resources allocated to each team on it.
+        groups: Number of instances of each group on it.
+        neighbours: Classes that run on it, with their loads.
         pressures: Predicted logarithm of the slowdown of each class on it.
         changed_s: Monotonic time at which its tasks last changed.
-        is_blocked: Whether it takes no tasks, as on probation.
-        is_hot: Whether services on it are slowed, so no batch is added.
+        is_blocked: Whether it is on probation and gets no tasks.
+        is_hot: Whether services on it are slowed or batch jobs throttled, so
+            that batch jobs which are not urgent stay away.
     """
 
     worker: workers.Worker
     free: resources.Resources | None = None
     level: Level | None = None
-    place: int = 0
-    reserved: str = ""
+    position: int = 0
+    reserved_for: str = ""
     used: dict[str, resources.Resources] = dataclasses.field(
         default_factory=dict
     )
@@ -110,9 +115,9 @@
 
 
 class WorkerIndex:
-    """Workers in buckets of like free resources.
+    """Workers in buckets by the amount of free resources.
 
-    The number of buckets depends on the sizes of workers alone, so a
+    The number of buckets depends only on the sizes of the workers, so a
     decision costs about the same for 25 workers as for 20,000.
 
     Args:
@@ -137,30 +142,30 @@
         self.team_used: dict[str, resources.Resources] = {}
 
     def refresh(
-        self, found: typing.Iterable[workers.Worker], *, now_s: float = 0.0
+        self, held: typing.Iterable[workers.Worker], *, now_s: float = 0.0
     ) -> None:
-        """Take over which workers there are and what they have free.
+        """Update all entries, and remove workers that are not given.
 
         Args:
-            found: All workers that may hold tasks.
+            held: All workers that may run tasks.
             now_s: Monotonic time in seconds.
         """
         names = set()
-        for worker in found:
+        for worker in held:
             names.add(worker.name)
             self.update(worker, now_s=now_s)
         for name in self.entries.keys() - names:
             self.remove(name)
 
     def update(self, worker: workers.Worker, *, now_s: float = 0.0) -> Entry:
-        """Take over what one worker has free.
+        """Update the entry of one worker, or add it.
 
         Args:
-            worker: The worker; a new one is added.
+            worker: The worker.
             now_s: Monotonic time in seconds.
 
         Returns:
-            Its entry.
+            The worker's entry.
         """
         entry = self.entries.get(worker.name)
         if entry is not None and entry.worker is not worker:
@@ -172,12 +177,12 @@
         if entry.free is not worker.free:
             entry.free = worker.free
             entry.changed_s = now_s
-            self._count(entry)
-        self._file(entry)
+            self._update_usage(entry)
+        self._update_bucket(entry)
         return entry
 
     def remove(self, name: str) -> None:
-        """Forget a worker.
+        """Remove a worker.
 
         Args:
             name: Name of the worker.
@@ -185,37 +190,39 @@
         entry = self.entries.pop(name, None)
         if entry is None:
             return
-        self._unfile(entry)
-        self._uncount(entry)
+        self._remove_from_bucket(entry)
+        self._subtract_usage(entry)
         self.capacity = self.capacity - entry.worker.capacity
 
-    def _file(self, entry: Entry) -> None:
+    def _update_bucket(self, entry: Entry) -> None:
         worker = entry.worker
-        takes = worker.is_known and not worker.leaving
-        takes = takes and not entry.reserved and not entry.is_blocked
-        level = _levels(entry.free, math.floor) if takes else None
+        accepts_tasks = worker.is_known and not worker.leaving
+        accepts_tasks = (
+            accepts_tasks and not entry.reserved_for and not entry.is_blocked
+        )
+        level = _levels(entry.free, math.floor) if accepts_tasks else None
         if level == entry.level:
             return
-        self._unfile(entry)
+        self._remove_from_bucket(entry)
         if level is not None:
             bucket = self._buckets.setdefault(level, [])
-            entry.level, entry.place = level, len(bucket)
+            entry.level, entry.position = level, len(bucket)
             bucket.append(entry)
 
-    def _unfile(self, entry: Entry) -> None:
+    def _remove_from_bucket(self, entry: Entry) -> None:
         if entry.level is None:
             return
         bucket = self._buckets[entry.level]
         last = bucket.pop()
         if last is not entry:
-            bucket[entry.place] = last
-            last.place = entry.place
+            bucket[entry.position] = last
+            last.position = entry.position
         if not bucket:
             del self._buckets[entry.level]
         entry.level = None
 
-    def _count(self, entry: Entry) -> None:
-        self._uncount(entry)
+    def _update_usage(self, entry: Entry) -> None:
+        self._subtract_usage(entry)
         rack = entry.worker.rack
         for placement in entry.worker.placements.values():
             spec = placement.task.spec
@@ -232,7 +239,7 @@
             key = (rack, group)
             self.rack_groups[key] = self.rack_groups.get(key, 0) + count
 
-    def _uncount(self, entry: Entry) -> None:
+    def _subtract_usage(self, entry: Entry) -> None:
         for team, used in entry.used.items():
             self.team_used[team] = self.team_used[team] - used
         for group, count in entry.groups.items():
@@ -246,7 +253,7 @@
         entry.pressures = {}
 
     def reserve(self, name: str, task: str) -> None:
-        """Keep a worker for one task; no other is placed there.
+        """Reserve a worker for one task; no other task is placed there.
 
         Args:
             name: Name of the worker.
@@ -254,49 +261,49 @@
         """
         entry = self.entries.get(name)
         if entry is not None:
-            entry.reserved = task
-            self._file(entry)
+            entry.reserved_for = task
+            self._update_bucket(entry)
 
-    def recount(self, entry: Entry) -> None:
-        """Take over that the tasks of a worker were throttled.
+    def refresh_usage(self, entry: Entry) -> None:
+        """Recompute the usage and loads of a worker after throttling.
 
         Args:
             entry: The worker's entry.
         """
-        self._count(entry)
+        self._update_usage(entry)
 
-    def share(self, team: str) -> float:
-        """Return the dominant share that a team uses.
+    def team_share(self, team: str) -> float:
+        """Return a team's dominant share of the capacity of all workers.
 
         Args:
             team: Name of the team.
         """
         used = self.team_used.get(team, resources.NOTHING)
-        return share_of(used, self.capacity)
+        return dominant_share(used, self.capacity)
 
     def sample(self, needs: resources.Resources, count: int) -> list[Entry]:
-        """Return random workers that can hold an amount.
+        """Return random workers that have enough resources free.
 
         Args:
-            needs: The amount.
-            count: Most workers to return.
+            needs: Resources that must be free.
+            count: Maximum number of workers.
         """
-        wanted = _levels(needs, math.ceil)
-        edge = _levels(needs, math.floor)
-        sure: list[list[Entry]] = []
-        near: list[list[Entry]] = []
+        sufficient = _levels(needs, math.ceil)
+        minimum = _levels(needs, math.floor)
+        certain: list[list[Entry]] = []
+        borderline: list[list[Entry]] = []
         for level, bucket in self._buckets.items():
-            if level[2] < wanted[2]:
+            if level[2] < sufficient[2]:
                 continue
-            if level[0] >= wanted[0] and level[1] >= wanted[1]:
-                sure.append(bucket)
-            elif level[0] >= edge[0] and level[1] >= edge[1]:
-                near.append(bucket)
-        found = self._draw(sure, needs, count)
-        if len(found) < count:
-            tried = self._draw(near, needs, EDGE_TRIES)
-            found += tried[: count - len(found)]
-        return found
+            if level[0] >= sufficient[0] and level[1] >= sufficient[1]:
+                certain.append(bucket)
+            elif level[0] >= minimum[0] and level[1] >= minimum[1]:
+                borderline.append(bucket)
+        drawn = self._draw(certain, needs, count)
+        if len(drawn) < count:
+            extra = self._draw(borderline, needs, BORDERLINE_SAMPLE_SIZE)
+            drawn += extra[: count - len(drawn)]
+        return drawn
 
     def _draw(
         self,
@@ -314,25 +321,25 @@
         else:
             drawn = []
             for number in self._rng.sample(range(total), count):
-                place = bisect.bisect_right(ends, number)
-                start = ends[place - 1] if place else 0
-                drawn.append(buckets[place][number - start])
-        # A worker may hold more by now than when it was filed.
+                position = bisect.bisect_right(ends, number)
+                start = ends[position - 1] if position else 0
+                drawn.append(buckets[position][number - start])
+        # Tasks may have been added to a worker since its bucket was chosen.
         return [entry for entry in drawn if needs.fits(entry.worker.free)]
 
-    def any_workers(self, count: int) -> list[Entry]:
-        """Return random workers that take tasks, full or not.
+    def sample_any(self, count: int) -> list[Entry]:
+        """Return random workers that accept tasks, including full ones.
 
         Args:
-            count: Most workers to return.
+            count: Maximum number of workers.
         """
-        return self._draw(list(self._buckets.values()), _NO_BOUND, count)
+        return self._draw(list(self._buckets.values()), _ANY_AMOUNT, count)
 
     def fitting(self, needs: resources.Resources) -> list[Entry]:
-        """Return all workers that can hold an amount, by a scan.
+        """Return all workers that have enough resources free, by a scan.
 
         Args:
-            needs: The amount.
+            needs: Resources that must be free.
         """
         return [
             entry
@@ -341,6 +348,6 @@
         ]
 
 
-_NO_BOUND = resources.Resources(
+_ANY_AMOUNT = resources.Resources(
     cores=-math.inf, memory_bytes=-(2**62), accelerators=-(2**30)
 )
--- a/wisteriawood/machines/monitors.py
+++ b/wisteriawood/machines/monitors.py
@@ -1,4 +1,4 @@
-"""The monitor: learns from usage reports and keeps services calm."""
+"""Monitor that learns from usage reports and protects services."""
 
 import dataclasses
 import math
@@ -18,27 +18,29 @@
 
 _LOG = events.Logger(name=__name__)
 
-# Usage reports of a worker whose tasks changed more lately than this are
-# not learned from: they lag, and tell of other neighbours.
-LEARN_AFTER_S = 5.0
+# Slowdowns are not learned from reports of a worker whose tasks changed less
+# than this time ago, since reports lag and may show former neighbours.
+SETTLING_TIME_S = 5.0
+# Time for which a slowdown seen by entry hosts replaces the reported one.
 LATENCY_VALID_S = 5.0
-SMOOTHING = 0.4
-# A task that runs is counted with its use and this margin.
-USE_MARGIN = 1.1
-# Changes smaller than this share of the worker are not taken over.
-RECOUNT_SHARE = 0.01
+# Weight of the newest value in the smoothed slowdown.
+SLOWDOWN_SMOOTHING = 0.4
+# Memory allocated to a running task, as a factor on its peak use.
+MEMORY_MARGIN = 1.1
+# Changes below this share of the worker's cores do not change an allocation.
+MIN_CORES_CHANGE_SHARE = 0.01
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Track:
-    """What was seen of one attempt.
+class TaskObservations:
+    """Measurements of one attempt of a task.
 
     Attributes:
-        reports: Reports so far.
-        peak: Greatest use in each resource.
-        slowdown: Smoothed slowdown; 0 if not known.
-        latency_slowdown: Slowdown as entry hosts saw it.
-        latency_s: Monotonic time at which they did.
+        reports: Number of usage reports taken while it was not throttled.
+        peak: Highest use of each resource.
+        slowdown: Smoothed slowdown as a ratio; 0 if not known.
+        latency_slowdown: Slowdown measured by entry hosts.
+        latency_s: Monotonic time of that measurement.
         measured_s: Time of the newest report on the worker's clock.
     """
 
@@ -51,14 +53,15 @@
 
 
 class Monitor:
-    """Joins usage reports with request latencies and acts on both.
+    """Limits batch jobs by usage reports and request latencies.
 
     Args:
-        allocator: Whose workers it watches and whose estimates it feeds.
+        allocator: Allocator whose workers are watched and whose estimates
+            are updated.
         throttling: Name of the throttling policy.
     """
 
-    __slots__ = ("_allocator", "_throttling", "_tracks")
+    __slots__ = ("_allocator", "_observations", "_throttling")
 
     def __init__(
         self,
@@ -69,33 +72,34 @@
         registry.load_modules(throttling_policies)
         self._allocator = allocator
         self._throttling = base.THROTTLING.get(throttling)()
-        self._tracks: dict[str, Track] = {}
+        self._observations: dict[str, TaskObservations] = {}
 
     def __len__(self) -> int:
-        return len(self._tracks)
+        return len(self._observations)
 
     def observe_latency(
         self, task: str, *, slowdown: float, now_s: float
     ) -> None:
-        """Take over how much slower a service instance answers.
+        """Record how much slower a service instance answers than its peers.
 
         Args:
             task: Id of the service instance.
-            slowdown: Its latency against its peers under equal load.
+            slowdown: Latency of the instance divided by that of its peers
+                under equal load.
             now_s: Monotonic time in seconds.
         """
-        track = self._tracks.setdefault(task, Track())
-        track.latency_slowdown = slowdown
-        track.latency_s = now_s
+        observed = self._observations.setdefault(task, TaskObservations())
+        observed.latency_slowdown = slowdown
+        observed.latency_s = now_s
 
     def keep_only(self, placed: set[str]) -> None:
-        """Forget the tasks that have left.
+        """Discard the state of tasks that are no longer on a worker.
 
         Args:
             placed: Ids of the tasks that are on workers.
         """
-        for task in self._tracks.keys() - placed:
-            del self._tracks[task]
+        for task in self._observations.keys() - placed:
+            del self._observations[task]
         self._allocator.keep_only(placed)
 
     def observe(
@@ -105,52 +109,58 @@
         *,
         now_s: float,
     ) -> None:
-        """Learn from the newest reports of a worker, then act.
+        """Learn from the newest reports of a worker and adjust its tasks.
 
         Args:
             worker: The worker.
-            reports: Its newest usage reports.
+            reports: Newest usage reports of the worker.
             now_s: Monotonic time in seconds.
         """
         index = self._allocator.index
         entry = index.update(worker, now_s=now_s)
-        is_settled = now_s - entry.changed_s >= LEARN_AFTER_S
+        is_stable = now_s - entry.changed_s >= SETTLING_TIME_S
         for report in reports:
             placement = worker.placements.get(report.task)
             if placement is None:
                 continue
-            track = self._tracks.setdefault(report.task, Track())
-            if report.measured_s == track.measured_s:
+            observed = self._observations.setdefault(
+                report.task, TaskObservations()
+            )
+            if report.measured_s == observed.measured_s:
                 continue
-            track.measured_s = report.measured_s
-            self._learn_size(placement, track, report)
+            observed.measured_s = report.measured_s
+            self._learn_size(placement, observed, report)
             self._learn_slowdown(
-                entry, placement, track, report, is_settled, now_s
+                entry, placement, observed, report, is_stable, now_s
             )
-        self._recount(entry, now_s)
+        self._update_counted(entry, now_s)
         entry.pressures.clear()
-        self._control(entry, now_s)
+        self._limit_interference(entry, now_s)
 
     def _learn_size(
         self,
         placement: workers.Placement,
-        track: Track,
+        observed: TaskObservations,
         report: worker_links.UsageReport,
     ) -> None:
         if placement.throttle < 1.0:
             return
-        used, peak = report.used, track.peak
-        track.peak = resources.Resources(
+        used, peak = report.used, observed.peak
+        observed.peak = resources.Resources(
             cores=max(used.cores, peak.cores),
             memory_bytes=max(used.memory_bytes, peak.memory_bytes),
             accelerators=placement.counted.accelerators,
         )
-        track.reports += 1
-        # Long runs teach less and less: at 2, 4, 8, ... reports.
-        if track.reports > 1 and track.reports & (track.reports - 1) == 0:
+        observed.reports += 1
+        # Samples are taken at 2, 4, 8, ... reports, so a long run adds fewer
+        # and fewer samples.
+        if (
+            observed.reports > 1
+            and observed.reports & (observed.reports - 1) == 0
+        ):
             spec = placement.task.spec
             self._allocator.sizes.observe(
-                indexes.class_of(spec), declared=spec.needs, used=track.peak
+                indexes.class_of(spec), declared=spec.needs, used=observed.peak
             )
             self._allocator.probes.finish(spec)
 
@@ -158,48 +168,48 @@
         self,
         entry: indexes.Entry,
         placement: workers.Placement,
-        track: Track,
+        observed: TaskObservations,
         report: worker_links.UsageReport,
-        is_settled: bool,
+        is_stable: bool,
         now_s: float,
     ) -> None:
         slowdown = 0.0
         if report.speed > 0:
             slowdown = max(1.0, placement.throttle / report.speed)
-        if now_s - track.latency_s < LATENCY_VALID_S:
-            slowdown = track.latency_slowdown
+        if now_s - observed.latency_s < LATENCY_VALID_S:
+            slowdown = observed.latency_slowdown
         if not slowdown:
             return
-        old = track.slowdown or slowdown
-        track.slowdown = old + SMOOTHING * (slowdown - old)
-        if is_settled:
+        old = observed.slowdown or slowdown
+        observed.slowdown = old + SLOWDOWN_SMOOTHING * (slowdown - old)
+        if is_stable:
             name = indexes.class_of(placement.task.spec)
             self._allocator.estimates.observe(
                 name,
-                others_than(entry, placement),
+                neighbours_of(entry, placement),
                 slowdown=slowdown,
                 now_s=now_s,
             )
 
-    def _recount(self, entry: indexes.Entry, now_s: float) -> None:
-        """Count tasks with what they use, where that is known better."""
+    def _update_counted(self, entry: indexes.Entry, now_s: float) -> None:
+        """Allocate what tasks were measured to use."""
         worker = entry.worker
-        least = RECOUNT_SHARE * worker.capacity.cores
+        least = MIN_CORES_CHANGE_SHARE * worker.capacity.cores
         for task_id, placement in list(worker.placements.items()):
-            track = self._tracks.get(task_id)
-            if track is None or track.reports < 2:
+            observed = self._observations.get(task_id)
+            if observed is None or observed.reports < 2:
                 continue
-            learned = self._allocator.needs_of(placement.task.spec)
+            learned = self._allocator.predict_needs(placement.task.spec)
             old = placement.counted
-            # The margin must fit into what is free; the use itself counts
-            # in any case.
+            # The margin is limited to free memory; the measured use always
+            # counts in full.
             room_bytes = old.memory_bytes + max(0, worker.free.memory_bytes)
-            margin_bytes = int(track.peak.memory_bytes * USE_MARGIN)
+            margin_bytes = int(observed.peak.memory_bytes * MEMORY_MARGIN)
             wanted_bytes = max(learned.memory_bytes, margin_bytes)
             counted = resources.Resources(
-                cores=track.peak.cores,
+                cores=observed.peak.cores,
                 memory_bytes=max(
-                    track.peak.memory_bytes, min(wanted_bytes, room_bytes)
+                    observed.peak.memory_bytes, min(wanted_bytes, room_bytes)
                 ),
                 accelerators=old.accelerators,
             )
@@ -216,21 +226,23 @@
         self._allocator.index.update(worker, now_s=now_s)
         entry.changed_s = changed_s
         if worker.free.memory_bytes < 0:
-            self._free_memory(entry, now_s)
+            self._evict_to_free_memory(entry, now_s)
 
     def _drop_margins(self, worker: workers.Worker) -> None:
-        """Count tasks with the memory that they use, and no more."""
+        """Reduce the memory allocated to tasks to their peak use."""
         for task_id, placement in list(worker.placements.items()):
-            track = self._tracks.get(task_id)
-            if track is None or track.reports < 2:
+            observed = self._observations.get(task_id)
+            if observed is None or observed.reports < 2:
                 continue
             worker.remove(task_id)
             placement.counted = dataclasses.replace(
-                placement.counted, memory_bytes=track.peak.memory_bytes
+                placement.counted, memory_bytes=observed.peak.memory_bytes
             )
             worker.add(placement)
 
-    def _free_memory(self, entry: indexes.Entry, now_s: float) -> None:
+    def _evict_to_free_memory(
+        self, entry: indexes.Entry, now_s: float
+    ) -> None:
         self._drop_margins(entry.worker)
         self._allocator.index.update(entry.worker, now_s=now_s)
         short_bytes = -entry.worker.free.memory_bytes
@@ -249,14 +261,14 @@
             )
             short_bytes -= victim.counted.memory_bytes
 
-    def _control(self, entry: indexes.Entry, now_s: float) -> None:
-        sufferers = self._sufferers(entry)
-        if not sufferers:
+    def _limit_interference(self, entry: indexes.Entry, now_s: float) -> None:
+        excess_by_service = self._excess_by_service(entry)
+        if not excess_by_service:
             entry.is_hot = False
-            self._release_all(entry)
+            self._remove_throttles(entry)
             return
-        excess = max(sufferers.values())
-        culprits = self._culprits(entry, sufferers, now_s)
+        excess = max(excess_by_service.values())
+        culprits = self._culprits(entry, excess_by_service, now_s)
         verdict = self._throttling.decide(
             base.WorkerView(
                 worker=entry.worker.name,
@@ -269,7 +281,7 @@
             entry.worker.order_throttle(order.task, order.share)
             _LOG.log(events.TASK_THROTTLED, task=order.task, share=order.share)
         if verdict.throttles:
-            self._allocator.index.recount(entry)
+            self._allocator.index.refresh_usage(entry)
         if verdict.evict:
             self._allocator.evictions.evict_one(
                 entry,
@@ -285,8 +297,8 @@
             found.share < 1.0 for found in culprits
         )
 
-    def _release_all(self, entry: indexes.Entry) -> None:
-        """Lift the limits of jobs on a worker where no services are left."""
+    def _remove_throttles(self, entry: indexes.Entry) -> None:
+        """Remove the throttling of jobs on a worker without services."""
         worker = entry.worker
         throttled = [
             task
@@ -296,34 +308,38 @@
         for task in throttled:
             worker.order_throttle(task, 1.0)
         if throttled:
-            self._allocator.index.recount(entry)
+            self._allocator.index.refresh_usage(entry)
 
-    def _sufferers(self, entry: indexes.Entry) -> dict[str, float]:
-        """Return the excess of each service on a worker, by task."""
-        found = {}
+    def _excess_by_service(self, entry: indexes.Entry) -> dict[str, float]:
+        """Return the slowdown of services by task, relative to the limit.
+
+        Values above 1 exceed what the team allows. Services whose slowdown
+        is not known are left out.
+        """
+        excess_by_service = {}
         for task_id, placement in entry.worker.placements.items():
             spec = placement.task.spec
-            track = self._tracks.get(task_id)
-            if spec.kind == tasks.TaskKind.BATCH or track is None:
+            observed = self._observations.get(task_id)
+            if spec.kind == tasks.TaskKind.BATCH or observed is None:
                 continue
-            if not track.slowdown:
+            if not observed.slowdown:
                 continue
             quota = self._allocator.quotas.of(spec.team)
-            found[task_id] = track.slowdown / math.exp(
+            excess_by_service[task_id] = observed.slowdown / math.exp(
                 least_harm.ceiling(quota)
             )
-        return found
+        return excess_by_service
 
     def _culprits(
         self,
         entry: indexes.Entry,
-        sufferers: dict[str, float],
+        excess_by_service: dict[str, float],
         now_s: float,
     ) -> list[base.Culprit]:
         worker = entry.worker
         names = {
             indexes.class_of(worker.placements[task].task.spec)
-            for task in sufferers
+            for task in excess_by_service
         }
         culprits = []
         for task_id, placement in worker.placements.items():
@@ -351,10 +367,10 @@
         return culprits
 
 
-def others_than(
+def neighbours_of(
     entry: indexes.Entry, placement: workers.Placement
 ) -> list[interference.Neighbour]:
-    """Return the classes beside a task on its worker.
+    """Return the classes that run beside a task on its worker.
 
     Args:
         entry: The worker's entry.
@@ -362,11 +378,11 @@
     """
     name = indexes.class_of(placement.task.spec)
     own = indexes.load_of(placement, entry.worker)
-    found = []
+    neighbours = []
     for other in entry.neighbours.values():
         if other.name == name:
             if other.count == 1:
                 continue
             other = dataclasses.replace(other, load=other.load - own)
-        found.append(other)
-    return found
+        neighbours.append(other)
+    return neighbours
--- a/wisteriawood/machines/placers.py
+++ b/wisteriawood/machines/placers.py
@@ -1,4 +1,4 @@
-"""The placer: the part of a scheduler that decides what starts where."""
+"""Placer of a scheduler, which assigns waiting tasks to workers."""
 
 import random
 import time
@@ -25,28 +25,29 @@
 if typing.TYPE_CHECKING:
     from wisteriawood.machines import schedulers
 
-QUEUE_PERIOD_S = 0.5
-# Time between rounds while a task waits for room that is being made.
-ROOM_PERIOD_S = 0.1
-USAGE_PERIOD_S = 1.0
-# Time after which the next scheduler of the zone tries to place a task.
-PASS_ON_S = 0.4
-# Time for which all workers must have been too small for a task before it
-# counts as impossible, since the host list lags.
+QUEUE_POLL_PERIOD_S = 0.5
+# Time between placement rounds while an urgent task has a reserved worker.
+URGENT_ROUND_PERIOD_S = 0.1
+USAGE_POLL_PERIOD_S = 1.0
+# Delay after which the next scheduler of the zone tries to place a task.
+NEXT_SCHEDULER_DELAY_S = 0.4
+# Waiting time before a task that is larger than every worker is declared
+# impossible, since the host list lags.
 IMPOSSIBLE_AFTER_S = 5.0
-CAPACITY_KEPT_S = 600.0
-LEAST_WEIGHT = 0.01
-NO_LIMIT = 2**62
+# Time for which the capacity of a worker counts after it was last listed.
+CAPACITY_RETENTION_S = 600.0
+MIN_WEIGHT = 0.01
+UNLIMITED = 2**62
 
 _LOG = events.Logger(name=__name__)
 
 
 def make_quota(name: str, team: configuration.Team) -> quotas.Quota:
-    """Return the quota that the configuration gives a team.
+    """Return the quota of a team from its configuration.
 
     Args:
         name: Name of the team.
-        team: Its configuration.
+        team: Configuration of the team.
     """
     limits = (
         team.quota.cores,
@@ -56,7 +57,7 @@
     limit = None
     if any(value is not None for value in limits):
         cores, memory_bytes, accelerators = (
-            NO_LIMIT if value is None else value for value in limits
+            UNLIMITED if value is None else value for value in limits
         )
         limit = resources.Resources(
             cores=cores, memory_bytes=memory_bytes, accelerators=accelerators
@@ -64,32 +65,36 @@
     classes = team.batch_classes.items()
     return quotas.Quota(
         team=name,
-        weight=max(team.quota.share, LEAST_WEIGHT),
+        weight=max(team.quota.share, MIN_WEIGHT),
         limit=limit,
         tail_latency_weight=team.weights.tail_latency,
         throughput_weight=team.weights.batch_throughput,
         eviction_weight=team.weights.evictions,
         not_evicted=frozenset(
-            task_class for task_class, found in classes if not found.resumable
+            class_name
+            for class_name, batch_class in classes
+            if not batch_class.resumable
         ),
         not_throttled=frozenset(
-            task_class for task_class, found in classes if not found.throttled
+            class_name
+            for class_name, batch_class in classes
+            if not batch_class.throttled
         ),
     )
 
 
 class Placer:
-    """Reads the queue of one zone and places what waits in it.
+    """Reads the queue of one zone and assigns its tasks to workers.
 
     Args:
-        scheduler: The scheduler whose workers it places on.
+        scheduler: The scheduler on whose workers tasks are placed.
         rng: Source of random numbers.
         policy: Name of the placement policy.
     """
 
     __slots__ = (
-        "_assigning",
-        "_capacities",
+        "_assigned_versions",
+        "_capacity_seen_s",
         "_group",
         "_queue_changed",
         "_scheduler",
@@ -106,19 +111,19 @@
     ):
         self.allocator = allocators.Allocator(rng=rng, placement=policy)
         self.monitor = monitors.Monitor(allocator=self.allocator)
-        self._assigning: dict[str, int] = {}
-        self._capacities: dict[resources.Resources, float] = {}
+        self._assigned_versions: dict[str, int] = {}
+        self._capacity_seen_s: dict[resources.Resources, float] = {}
         self._group: abc.TaskGroup | None = None
         self._queue_changed = anyio.Event()
         self._scheduler = scheduler
 
     @property
-    def pending(self) -> dict[str, queues.Waiting]:
-        """Tasks that wait for a worker, by id."""
+    def pending(self) -> dict[str, queues.WaitingTask]:
+        """Waiting tasks by id."""
         return self.allocator.queue.waiting
 
     def explain(self, task: str) -> str:
-        """Return why a task waits; empty if it does not wait here.
+        """Return why a task waits here, or an empty string if it does not.
 
         Args:
             task: Id of the task.
@@ -127,26 +132,27 @@
         return waiting.reason if waiting is not None else ""
 
     def see_hosts(self, hosts: list[platforms.Host]) -> None:
-        """Take over how large the workers of the zone are.
+        """Update the capacities of the zone's workers.
 
         Args:
-            hosts: The platform's host list.
+            hosts: Host list of the platform.
         """
         now_s = anyio.current_time()
         total = resources.NOTHING
         for host in hosts:
             is_worker = host.kind == platforms.HostKind.WORKER
             if is_worker and host.zone == self._scheduler.zone:
-                self._capacities[host.capacity] = now_s
+                self._capacity_seen_s[host.capacity] = now_s
                 total = total + host.capacity
         self.allocator.zone_capacity = total
 
     def observe_latency(self, target: str, slowdown: float) -> None:
-        """Take over how much slower a target answers than its peers.
+        """Record how much slower a target answers than its peers.
 
         Args:
             target: Id of the target, as task.attempt.
-            slowdown: Its latency against theirs; 1 for none.
+            slowdown: Latency of the target divided by that of its peers; 1
+                means that it is not slower.
         """
         self.monitor.observe_latency(
             target.rpartition(".")[0],
@@ -155,22 +161,22 @@
         )
 
     def note_success(self, task: str, worker: str) -> None:
-        """Take over that an attempt finished.
+        """Record that an attempt finished.
 
         Args:
             task: Id of the task.
-            worker: Name of its worker.
+            worker: Name of the worker that ran it.
         """
-        self.allocator.probations.succeed(worker=worker, task=task)
+        self.allocator.probations.record_success(worker=worker, task=task)
 
     def note_failure(self, task: str, worker: str) -> None:
-        """Take over that an attempt failed.
+        """Record that an attempt failed.
 
         Args:
             task: Id of the task.
-            worker: Name of its worker.
+            worker: Name of the worker that ran it.
         """
-        is_new = self.allocator.probations.fail(
+        is_new = self.allocator.probations.record_failure(
             worker=worker,
             task=task,
             now_s=anyio.current_time(),
@@ -207,90 +213,97 @@
                     await self._read_queue()
                 except errors.PlatformError:
                     pass
-            await anyio.sleep(QUEUE_PERIOD_S)
+            await anyio.sleep(QUEUE_POLL_PERIOD_S)
 
     async def _read_queue(self) -> None:
         scheduler = self._scheduler
-        found = await platforms.scan_all(
+        pending_rows = await platforms.scan_all(
             scheduler.platform, keys.pendings(scheduler.zone)
         )
         now_s = anyio.current_time()
         seen = set()
-        for row in found:
+        for row in pending_rows:
             task_id = row.key.rpartition("/")[2]
             seen.add(task_id)
             old = self.pending.get(task_id)
             if old is not None and old.version == row.version:
                 continue
-            if self._assigning.get(task_id) == row.version:
+            if self._assigned_versions.get(task_id) == row.version:
                 continue
             task = rows.from_value(row.value, tasks.Task)
             self.allocator.queue.add(task, version=row.version, now_s=now_s)
         for task_id in self.pending.keys() - seen:
             self.allocator.withdraw(task_id)
         for waiting in list(self.pending.values()):
-            waiting.turn_s = PASS_ON_S * self._rank(waiting.task.spec.id)
-            await self._check_possible(waiting, now_s)
+            waiting.min_wait_s = NEXT_SCHEDULER_DELAY_S * self._rank(
+                waiting.task.spec.id
+            )
+            await self._end_if_impossible(waiting, now_s)
         self._queue_changed.set()
 
     def _rank(self, task_id: str) -> int:
-        """Return how many schedulers with racks come before this one."""
+        """Return how many schedulers with racks try to place a task first."""
         scheduler = self._scheduler
         own = scheduler.membership.own.name
         return claims.rank(scheduler.rack_holders | {own}, own, task_id)
 
     async def _place_forever(self) -> None:
         while True:
-            period_s = ROOM_PERIOD_S if self._awaits_room() else None
+            period_s = (
+                URGENT_ROUND_PERIOD_S
+                if self._has_urgent_reservation()
+                else None
+            )
             with anyio.move_on_after(period_s):
                 await self._queue_changed.wait()
             self._queue_changed = anyio.Event()
             now_s = anyio.current_time()
             if not self._scheduler.membership.is_confirmed():
                 continue
-            self.allocator.refresh(self._workers(), now_s=now_s)
+            self.allocator.refresh(self._all_workers(), now_s=now_s)
             for start in self.allocator.place(now_s=now_s):
                 self._group.start_soon(self._assign, start)
 
-    def _awaits_room(self) -> bool:
+    def _has_urgent_reservation(self) -> bool:
         return any(
-            waiting.reserved and waiting.task.spec.urgent
+            waiting.reserved_worker and waiting.task.spec.urgent
             for waiting in self.pending.values()
         )
 
     async def _assign(self, start: allocators.Start) -> None:
         placement = start.placement
         task_id = placement.task.spec.id
-        # A row read before the commit would be placed a second time.
-        self._assigning[task_id] = placement.version
+        # A scan that started before the commit may still return the row, and
+        # the task would be placed twice.
+        self._assigned_versions[task_id] = placement.version
         await self._scheduler.assign(start.worker, placement)
         if placement.is_committed:
-            await anyio.sleep(2 * QUEUE_PERIOD_S)
-        self._assigning.pop(task_id, None)
+            await anyio.sleep(2 * QUEUE_POLL_PERIOD_S)
+        self._assigned_versions.pop(task_id, None)
 
-    def _workers(self) -> typing.Iterator[typing.Any]:
+    def _all_workers(self) -> typing.Iterator[typing.Any]:
         for rack in self._scheduler.racks.values():
             yield from rack.workers.values()
 
-    async def _check_possible(
-        self, waiting: queues.Waiting, now_s: float
+    async def _end_if_impossible(
+        self, waiting: queues.WaitingTask, now_s: float
     ) -> None:
         needs = waiting.task.spec.needs
-        if now_s - waiting.since_s < IMPOSSIBLE_AFTER_S + waiting.turn_s:
+        if now_s - waiting.since_s < IMPOSSIBLE_AFTER_S + waiting.min_wait_s:
             return
-        self._capacities = {
+        self._capacity_seen_s = {
             capacity: seen_s
-            for capacity, seen_s in self._capacities.items()
-            if now_s - seen_s < CAPACITY_KEPT_S
+            for capacity, seen_s in self._capacity_seen_s.items()
+            if now_s - seen_s < CAPACITY_RETENTION_S
         }
-        if not self._capacities:
-            waiting.reason = "the host list names no worker in this zone"
+        if not self._capacity_seen_s:
+            waiting.reason = "the host list has no workers in this zone"
             return
-        if any(needs.fits(capacity) for capacity in self._capacities):
+        if any(needs.fits(capacity) for capacity in self._capacity_seen_s):
             return
-        await self._end_impossible(waiting)
+        await self._end_as_impossible(waiting)
 
-    async def _end_impossible(self, waiting: queues.Waiting) -> None:
+    async def _end_as_impossible(self, waiting: queues.WaitingTask) -> None:
         task = waiting.task
         needs = task.spec.needs
         task.state = tasks.TaskState.IMPOSSIBLE
@@ -322,10 +335,10 @@
 
     async def _follow_usage(self) -> None:
         while True:
-            await anyio.sleep(USAGE_PERIOD_S)
+            await anyio.sleep(USAGE_POLL_PERIOD_S)
             now_s = anyio.current_time()
             placed = set()
-            for worker in self._workers():
+            for worker in self._all_workers():
                 placed |= worker.placements.keys()
                 if worker.usage:
                     self.monitor.observe(
