--- a/wisteriawood/cells/progress.py
+++ b/wisteriawood/cells/progress.py
@@ -1,4 +1,4 @@
-"""What the end of a run means for its job."""
+"""Progress of jobs: ended runs, waiting steps and remaining time."""
 
 import typing
 
@@ -8,14 +8,14 @@
 
 
 def gang_of(job: jobs.Job, task: tasks.Task) -> list[tasks.Task]:
-    """Return the tasks that run together with a task.
+    """Return the tasks that must run together with a task.
 
     Args:
         job: The job.
         task: The task.
 
     Returns:
-        The task alone unless its step is a gang.
+        All tasks of the step if it is a gang, else only the task.
     """
     if not job.step_of(task).is_gang:
         return [task]
@@ -28,12 +28,12 @@
     outcome: tasks.Outcome,
     checkpoint: str,
 ) -> None:
-    """Take the end of a task's newest run into its job.
+    """Update a job after the newest run of a task has ended.
 
     Args:
         job: The job.
-        task: The task; its newest run has ended.
-        outcome: How.
+        task: The task.
+        outcome: How the run ended.
         checkpoint: Last checkpoint of the run; empty for none.
     """
     if checkpoint:
@@ -44,7 +44,7 @@
     if outcome is tasks.Outcome.DONE and not job.step_of(task).is_standing:
         for member in gang_of(job, task):
             member.release(tasks.Phase.DONE)
-        job.close_done()
+        job.close_completed()
         return
     task.release(tasks.Phase.WAITING)
 
@@ -61,7 +61,7 @@
 def waiting_steps(job: jobs.Job) -> list[list[tasks.Task]]:
     """Return the tasks of a job that may be started, by step.
 
-    A gang is listed once all of its members wait.
+    A gang is included only when all of its tasks are waiting.
 
     Args:
         job: The job.
@@ -78,7 +78,7 @@
 
 
 def next_run(group: typing.Sequence[tasks.Task]) -> int:
-    """Return the number of the next run of tasks that share it.
+    """Return the number of the next run of tasks that start together.
 
     Args:
         group: The tasks.
@@ -87,9 +87,9 @@
 
 
 def remaining_s(job: jobs.Job) -> float:
-    """Return the least time in which the rest of a job can be done.
+    """Return the shortest time in seconds to complete the rest of a job.
 
-    Steps of which all tasks are at work count half.
+    Steps with running but no waiting tasks count half of their run time.
 
     Args:
         job: The job.
--- a/wisteriawood/jobs/__init__.py
+++ b/wisteriawood/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: steps of tasks, what their queues allow, and their progress."""
+"""Jobs: their steps and tasks, their queues and their progress."""
--- a/wisteriawood/jobs/jobs.py
+++ b/wisteriawood/jobs/jobs.py
@@ -15,7 +15,7 @@
     COMPLETED = "completed"
     FAILED = "failed"
     CANCELED = "canceled"
-    # The job was not taken in; callers see no job.
+    # The job was not accepted; callers can't see it.
     REFUSED = "refused"
 
 
@@ -28,7 +28,7 @@
     }
 )
 
-# Occurrences whose tasks are kept at a time; bounds the size of a row.
+# Most occurrences open at the same time; bounds the size of a job's row.
 MAX_OPEN_OCCURRENCES = 16
 
 
@@ -36,18 +36,19 @@
     """A job with the tasks of its open occurrences.
 
     Args:
-        spec: What was handed in.
+        spec: The job as it was submitted.
         cell: Name of the cell that runs it.
         bucket: Partition of the store that keeps it.
 
     Attributes:
-        state: What callers see.
+        state: State that callers see.
+        accepted_at_s: Monotonic time at which it was accepted.
+        objective_s: Time from then in which it should complete.
         ended_unix_ms: Wall time of its end; 0 before.
         occurrences: Tasks by occurrence and step.
         next_occurrence: Number of the next occurrence to open.
-        occurrences_done: Occurrences whose tasks are all done.
+        occurrences_done: Number of occurrences whose tasks are all done.
         version: Version of its row in the store.
-        done_at_s: Monotonic time of its end in this process.
     """
 
     __slots__ = (
@@ -68,7 +69,7 @@
         self.spec = spec
         self.cell = cell
         self.bucket = bucket
-        # A lent task belongs to a job that has begun.
+        # The job that a lent task belongs to is already running.
         is_lent = bool(spec.lent_task)
         self.state = JobState.RUNNING if is_lent else JobState.QUEUED
         self.ended_unix_ms = 0
@@ -93,11 +94,11 @@
         return self.spec.lent_task or tasks.task_name(self.id, task)
 
     def is_ended(self) -> bool:
-        """Tell whether nothing of the job runs any more."""
+        """Return whether the job has reached its final state."""
         return self.state in ENDED_STATES
 
     def is_standing(self) -> bool:
-        """Tell whether the job lasts until it is cancelled."""
+        """Return whether the job runs until it is cancelled."""
         return any(step.is_standing for step in self.spec.steps)
 
     def step_of(self, task: tasks.Task) -> specs.StepSpec:
@@ -111,7 +112,7 @@
                 yield from step
 
     def open_occurrence(self, number: int) -> None:
-        """Make the tasks of an occurrence.
+        """Create the tasks of an occurrence.
 
         Args:
             number: Number of the occurrence.
@@ -135,7 +136,7 @@
             now_unix_ms: Wall time.
 
         Returns:
-            Whether one was opened.
+            Whether any was opened.
         """
         count = max(1, self.spec.occurrence_count)
         was_opened = False
@@ -150,7 +151,7 @@
         return was_opened
 
     def is_step_done(self, occurrence: int, step: int) -> bool:
-        """Tell whether all tasks of a step are done.
+        """Return whether all tasks of a step are done.
 
         Args:
             occurrence: Number of the occurrence.
@@ -162,7 +163,7 @@
         )
 
     def ready_steps(self) -> typing.Iterator[list[tasks.Task]]:
-        """Yield the tasks of each step that may run."""
+        """Yield the tasks of each step whose earlier steps are done."""
         if self.is_ended():
             return
         for number, steps in self.occurrences.items():
@@ -171,8 +172,8 @@
                 if all(self.is_step_done(number, i) for i in after):
                     yield found
 
-    def close_done(self) -> None:
-        """Drop occurrences that are done, and complete the job after all."""
+    def close_completed(self) -> None:
+        """Remove completed occurrences; complete the job after the last."""
         for number in list(self.occurrences):
             steps = range(len(self.spec.steps))
             if all(self.is_step_done(number, step) for step in steps):
--- a/wisteriawood/jobs/queues.py
+++ b/wisteriawood/jobs/queues.py
@@ -1,4 +1,4 @@
-"""Queues: where jobs are handed in, and what their tasks may do."""
+"""Queues that callers submit jobs to, and the rules for their tasks."""
 
 import dataclasses
 
@@ -7,12 +7,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Advice:
-    """Which workers may run a step is asked of the advice service.
+    """Times of the advice service, which approves the workers of a step.
 
     Attributes:
-        decide_ms: Time that a question takes.
-        each_ms: Further time for each worker named.
-        valid_ms: Time for which an answer's tickets are valid.
+        decide_ms: Time that a decision takes.
+        each_ms: Additional time for each worker in the request.
+        valid_ms: Time for which the tickets of an answer are valid.
     """
 
     decide_ms: float = 0.0
@@ -25,16 +25,17 @@
     """A queue of the configuration.
 
     Attributes:
-        name: Its name.
-        host_name: Host name under which callers reach it.
-        prefix: Prefix of the paths that belong to it.
+        name: Name of the queue.
+        host_name: Host name of the requests that the queue accepts.
+        prefix: Path prefix of the requests that the queue accepts.
         service: Service whose workers run its tasks.
-        timeout_ms: Time after which a caller's request is given up.
-        target_ms: Part of the objective on top of the stretched run time.
-        priority: 0 comes first and may displace others.
-        attempts: Failed runs after which a task is given up.
-        stretch: Factor of the objective on the longest chain of steps.
-        advice: How workers are approved; None if any may run the tasks.
+        timeout_ms: Time after which a caller's request is abandoned.
+        target_ms: Constant part of the objective.
+        priority: 0 is the highest priority and may displace others.
+        attempts: Number of failed runs after which a task fails its job.
+        stretch: Factor of the critical path in the objective.
+        advice: Advice service that approves workers; None if any worker may
+            run the tasks.
     """
 
     name: str
@@ -69,14 +70,14 @@
             listed.sort(key=lambda queue: -len(queue.prefix))
 
     def find(self, host_name: str, path: str) -> Queue:
-        """Return the queue of a caller's request.
+        """Return the queue that accepts a caller's request.
 
         Args:
-            host_name: Host that the request names, without its port.
+            host_name: Host name in the request, without port.
             path: Path of the request.
 
         Raises:
-            NotFoundError: No queue has such a host and prefix.
+            NotFoundError: No queue accepts this host name and path.
         """
         for queue in self._by_host.get(host_name, []):
             if path.startswith(queue.prefix):
@@ -84,5 +85,5 @@
         raise errors.NotFoundError("no queue serves this host and path")
 
     def services(self) -> set[str]:
-        """Return the services to which queues lead."""
+        """Return the services whose workers run tasks of the queues."""
         return {queue.service for queue in self.queues if queue.service}
--- a/wisteriawood/jobs/specs.py
+++ b/wisteriawood/jobs/specs.py
@@ -1,4 +1,4 @@
-"""What a caller asks for when handing in a job."""
+"""Specifications of jobs and their steps, as callers submit them."""
 
 import dataclasses
 
@@ -7,27 +7,28 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class StepSpec:
-    """A step of a job: a number of equal tasks.
+    """A step of a job: a number of identical tasks.
 
     Attributes:
-        task_count: How many tasks the step has.
-        cpu_millicores: Processor that each task asks for.
-        memory_mb: Memory that each task asks for.
-        accelerators: Accelerators that each task asks for.
+        task_count: Number of tasks in the step.
+        cpu_millicores: CPU that each task requests.
+        memory_mb: Memory that each task requests.
+        accelerators: Accelerators that each task requests.
         expected_run_ms: Rough estimate of a task's run time.
         after: Numbers of the earlier steps that must be done first.
         is_checkpointing: Whether a task can resume from a checkpoint.
-        is_gang: Whether the tasks work only all together.
-        is_same_rack: Whether a gang works best on one rack.
-        required_label: Label that a worker must have; empty for any.
-        near_rack: Rack where the data lies; empty for none.
+        is_gang: Whether the tasks must all run at the same time.
+        is_same_rack: Whether a gang is preferably placed on one rack.
+        required_label: Label that a worker must have; empty for any worker.
+        near_rack: Rack that stores the data; empty for none.
         most_per_worker: Most tasks of the step on one worker; 0 for any.
         is_speculative: Whether copies of a task may run in parallel.
         is_standing: Whether the tasks run until the job is cancelled.
-        image: What the tasks run; tasks of one image behave alike.
-        tail_target_ms: Bound of a serving task's response times; 0: none.
-        is_filler: Whether the tasks use only processor that is left over.
-        most_missing: Tasks that we may take away at the same time.
+        image: Image that the tasks run; tasks of one image behave alike.
+        tail_target_ms: Bound of a serving task's tail latency; 0 for none.
+        is_filler: Whether the tasks use only CPU that other tasks leave
+            unused.
+        most_missing: Most tasks that may be interrupted at the same time.
     """
 
     task_count: int
@@ -52,21 +53,22 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class JobSpec:
-    """A job as it was handed in, with the rules of its queue.
+    """A job as it was submitted, with the rules of its queue.
 
     Attributes:
         id: Id that the caller chose.
-        queue: The queue, as configured when the job was handed in.
-        payload: Text handed to the workers untouched.
+        queue: The queue, as configured when the job was submitted.
+        payload: Text passed to the workers unchanged.
         steps: The steps.
-        occurrence_count: How often the steps run; 0 for once, at once.
+        occurrence_count: How often the steps run; 0 for once, immediately.
         first_due_unix_ms: Wall time at which the first occurrence is due.
         interval_ms: Time between occurrences.
-        accepted_unix_ms: Wall time at which the job was handed in.
-        lent_task: Name of the only task, on workers, if another cell has
-            lent it; empty for a job as it was handed in.
-        runs_before: Runs that the lent task had before.
-        checkpoint: From where the lent task resumes; empty for the start.
+        accepted_unix_ms: Wall time at which the job was accepted.
+        lent_task: Name of the only task, as workers know it, if another
+            cell has lent it; empty for a job that was submitted.
+        runs_before: Number of runs of the lent task before it was lent.
+        checkpoint: Checkpoint from which the lent task resumes; empty to
+            start from the beginning.
     """
 
     id: str
@@ -82,7 +84,7 @@
     checkpoint: str = ""
 
     def is_timed(self) -> bool:
-        """Tell whether the steps run at set times."""
+        """Return whether the steps run at scheduled times."""
         return self.occurrence_count > 0
 
     def due_unix_ms(self, occurrence: int) -> int:
@@ -97,7 +99,7 @@
 
 
 def step_millicore_s(step: StepSpec) -> int:
-    """Return the work of one task of a step, as estimated.
+    """Return the estimated work of one task of a step, in millicore s.
 
     Args:
         step: The step.
@@ -106,7 +108,7 @@
 
 
 def filler_millicore_s(spec: JobSpec) -> int:
-    """Return the work of a job's fillers, as estimated.
+    """Return the estimated work of a job's fillers, in millicore s.
 
     Args:
         spec: The job.
@@ -119,17 +121,17 @@
 
 
 def objective_s(spec: JobSpec) -> float:
-    """Return the time in which a job should be done.
+    """Return the time in which an accepted job should complete.
 
     Args:
         spec: The job.
     """
     queue = spec.queue
-    return (queue.stretch * chain_ms(spec) + queue.target_ms) / 1000
+    return (queue.stretch * critical_path_ms(spec) + queue.target_ms) / 1000
 
 
-def chain_ms(spec: JobSpec) -> int:
-    """Return the run time of the longest chain of steps, as estimated.
+def critical_path_ms(spec: JobSpec) -> int:
+    """Return the estimated run time of the longest chain of steps.
 
     Args:
         spec: The job.
--- a/wisteriawood/jobs/tasks.py
+++ b/wisteriawood/jobs/tasks.py
@@ -1,15 +1,15 @@
-"""Tasks of a job and the runs that they have had."""
+"""Tasks of a job and the state of their runs."""
 
 import enum
 
 
 class Phase(enum.IntEnum):
-    """Where a task stands."""
+    """Phase of a task."""
 
     WAITING = 0
     ASSIGNED = 1
     DONE = 2
-    # Handed to another cell, as a job of its own.
+    # Lent to another cell, where it is a separate job.
     LENT = 3
 
 
@@ -33,11 +33,12 @@
         index: Number of the task in the step.
 
     Attributes:
-        phase: Where it stands.
+        phase: Phase of the task.
         run: Number of its newest run; 0 before the first.
         worker_id: Worker of the newest run while it is assigned.
-        failures: Runs that failed.
-        checkpoint: From where the next run resumes; empty for the start.
+        failures: Number of failed runs.
+        checkpoint: Checkpoint from which the next run resumes; empty to
+            start from the beginning.
     """
 
     __slots__ = (
@@ -62,7 +63,7 @@
         self.checkpoint = ""
 
     def assign(self, *, worker_id: str, run: int) -> None:
-        """Begin a new run on a worker.
+        """Assign a new run to a worker.
 
         Args:
             worker_id: The worker.
@@ -73,10 +74,10 @@
         self.worker_id = worker_id
 
     def release(self, phase: Phase) -> None:
-        """Take the task off its worker.
+        """Remove the task from its worker.
 
         Args:
-            phase: Where it stands now.
+            phase: New phase of the task.
         """
         self.phase = phase
         self.worker_id = ""
@@ -86,7 +87,7 @@
     """Return the name under which workers know a task.
 
     Args:
-        job_id: Id of the job that was handed in.
+        job_id: Id of the submitted job.
         task: The task.
     """
     return f"{job_id}.{task.occurrence}.{task.step}.{task.index}"
