--- a/wisteriawood/cells/workers.py
+++ b/wisteriawood/cells/workers.py
@@ -51,10 +51,10 @@
         answered_at_s: Monotonic time of the last answer; 0 before the first.
         avoided_until_s: Monotonic time before which no run is sent here.
         is_gone: Whether the directory no longer lists the worker.
-        is_over: Whether the holder no longer sends orders to the worker.
+        is_closed: Whether the holder no longer sends orders to the worker.
         no_fillers_until_s: Monotonic time before which no filler starts.
-        leaving_images: Monotonic time until which tasks of an image may
-            not be placed here after one was moved away, by image.
+        blocked_images_until_s: Monotonic time until which no task of an
+            image is placed here after one was moved away, by image.
     """
 
     __slots__ = (
