--- a/wisteriawood/errors.py
+++ b/wisteriawood/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions raised by wisteriawood, in one tree."""
+"""Exceptions raised by wisteriawood, with a common base class."""
 
 
 class WisteriawoodError(Exception):
@@ -6,7 +6,7 @@
 
     Attributes:
         exit_code: Exit status of a command that ends with this error.
-        http_status: Status with which a daemon answers it over HTTP.
+        http_status: HTTP status of a response that reports this error.
     """
 
     exit_code = 1
@@ -14,20 +14,20 @@
 
 
 class UsageError(WisteriawoodError):
-    """The caller's input is wrong; the message says how to mend it."""
+    """The user's input is invalid; the message says how to correct it."""
 
     exit_code = 2
     http_status = 400
 
 
 class SettingsError(UsageError):
-    """A settings or answers file has an error.
+    """A settings or answers file contains an invalid value.
 
     Args:
         file: Name of the file.
         path: JSON path of the value inside the file.
-        found: What stands there.
-        remedy: What to write instead.
+        found: What the file contains there.
+        remedy: How to correct it.
     """
 
     def __init__(self, *, file: str, path: str, found: str, remedy: str):
@@ -46,14 +46,14 @@
 
 
 class NotFoundError(WisteriawoodError):
-    """There is no such team, task, host or version."""
+    """The team, task, host or version does not exist."""
 
     exit_code = 4
     http_status = 404
 
 
 class PlatformError(WisteriawoodError):
-    """Base of errors of the platform's services."""
+    """Base of errors of calls to the platform's services."""
 
     exit_code = 5
     http_status = 503
@@ -64,11 +64,11 @@
 
 
 class TransactionUnknownError(PlatformError):
-    """A transaction was sent and its outcome is not known."""
+    """A transaction was sent, but its outcome is unknown."""
 
 
 class TransactionConflictError(PlatformError):
-    """A condition of the transaction did not hold; nothing was written."""
+    """A condition of the transaction was not met; nothing was written."""
 
     http_status = 409
 
@@ -84,7 +84,7 @@
 
 
 class LinkRefusedError(LinkError):
-    """The peer's machine refused the connection: nobody listens."""
+    """The peer's machine refused the connection, as no process listens."""
 
 
 class MessageError(LinkError):
@@ -94,15 +94,15 @@
 
 
 class RequestError(WisteriawoodError):
-    """Base of errors that end one request of a caller."""
+    """Base of errors that fail one request of a caller."""
 
 
 class RequestNotRunError(RequestError):
-    """The request was not run by any target.
+    """No target ran the request.
 
     Args:
         reason: Why, for the caller.
-        status: HTTP status of the answer.
+        status: HTTP status of the response.
         retry_after_s: Seconds after which a retry may succeed.
     """
 
@@ -116,11 +116,11 @@
 
 
 class RequestUnknownError(RequestError):
-    """The request may have run; its answer is not known.
+    """The request may have run, but its response is unknown.
 
     Args:
         reason: Why, for the caller.
-        status: HTTP status of the answer.
+        status: HTTP status of the response.
     """
 
     def __init__(self, *, reason: str, status: int = 504):
@@ -130,4 +130,4 @@
 
 
 class PlacementError(WisteriawoodError):
-    """A task can't be placed; the message says why."""
+    """A task can't be placed on any worker; the message says why."""
--- a/wisteriawood/policies/__init__.py
+++ b/wisteriawood/policies/__init__.py
@@ -1,1 +1,1 @@
-"""Registries of the policies that operators choose from."""
+"""Policies that operators select by name, with a registry for each kind."""
--- a/wisteriawood/policies/admission/__init__.py
+++ b/wisteriawood/policies/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Policies that decide whether a job is taken in."""
+"""Admission policies, one module each."""
--- a/wisteriawood/policies/admission/always.py
+++ b/wisteriawood/policies/admission/always.py
@@ -6,7 +6,7 @@
 
 @base.POLICIES.register("always")
 class Always:
-    """Takes each job in; late ones wait."""
+    """Accepts every job; under overload, jobs end late."""
 
     __slots__ = ()
 
--- a/wisteriawood/policies/admission/base.py
+++ b/wisteriawood/policies/admission/base.py
@@ -1,4 +1,4 @@
-"""What the policies of admission share."""
+"""Interface and registry of admission policies."""
 
 import dataclasses
 import typing
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class CellView:
-    """A cell as a host sees it, with what it has sent there itself.
+    """Load of a cell: the last report plus jobs sent by this host since.
 
     Attributes:
-        capacity_millicores: Processor of the usable workers.
-        free_millicores: Processor that nothing has reserved or waits for.
-        left_millicores: Processor that nothing is expected to use.
-        backlog_millicore_s: Work of fillers that is not done, as estimated.
-        rate_millicores: Work of fillers done in a second, as estimated.
+        capacity_millicores: CPU of the usable workers.
+        free_millicores: CPU that no task has reserved or waits for.
+        left_millicores: CPU that is expected to stay unused.
+        backlog_millicore_s: Estimated work of fillers that is not done yet.
+        rate_millicores: Estimated work of fillers done in a second.
     """
 
     capacity_millicores: int = 1
@@ -30,11 +30,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Refusal:
-    """Why a job is not taken in.
+    """Why a job is refused.
 
     Attributes:
         reason: Why, for the caller.
-        retry_after_s: When it may find room.
+        retry_after_s: Seconds after which a retry may be accepted.
     """
 
     reason: str
@@ -42,14 +42,14 @@
 
 
 class AdmissionPolicy(typing.Protocol):
-    """Decides whether a cell takes a job in."""
+    """Decides whether a job is accepted."""
 
     def check(self, spec: specs.JobSpec, view: CellView) -> Refusal | None:
-        """Return why a job is refused; None if it is taken in.
+        """Return why a job is refused, or None to accept it.
 
         Args:
             spec: The job.
-            view: The cell with most room for it.
+            view: Load of the cell that would receive it.
         """
 
 
--- a/wisteriawood/policies/admission/in_time.py
+++ b/wisteriawood/policies/admission/in_time.py
@@ -1,28 +1,30 @@
-"""Admission of the jobs that can be done in time."""
+"""Admission of the jobs that can complete in time."""
 
 from wisteriawood.jobs import specs
 from wisteriawood.policies.admission import base
 
-# Share of a cell's processor that standing jobs leave to jobs that end.
+# Share of a cell's CPU that standing (long-running) jobs leave free for jobs
+# that end.
 RESERVE_SHARE = 0.15
-# Time after which a standing job may find room; cancels make it.
+# Time after which to retry a refused standing job; capacity is freed only when
+# others are cancelled.
 STANDING_RETRY_S = 5.0
-# Share of its processor that a cell's fillers get at least, while nothing
-# is known of their rate.
-LEAST_RATE_SHARE = 0.35
-# A filler job is refused when it would take this multiple of its
-# objective; a result is of no use after that.
-LATEST_X = 3.0
-# Returns are spread over this time, by the ids of the jobs.
-SPREAD_S = 2.0
+# Lower bound of the CPU that the fillers of a cell are assumed to get, as a
+# share of its capacity; applies also while no rate has been reported.
+MIN_RATE_SHARE = 0.35
+# A filler job is refused if it would take more than this multiple of its
+# objective; its result would have no value by then.
+MAX_OBJECTIVE_FACTOR = 3.0
+# Retries are spread over this time by the ids of the jobs.
+RETRY_SPREAD_S = 2.0
 
 
 @base.POLICIES.register(base.DEFAULT)
 class InTime:
-    """Refuses what would be late, and keeps room for jobs that end.
+    """Refuses fillers that would be late, and reserves CPU for jobs that end.
 
-    What a full cell takes in beyond its rate makes all later jobs late,
-    so each is refused at once instead.
+    If a full cell accepted more work than it completes, all later jobs would
+    be late too. Jobs that would be late are therefore refused at once.
     """
 
     __slots__ = ()
@@ -30,7 +32,7 @@
     def check(
         self, spec: specs.JobSpec, view: base.CellView
     ) -> base.Refusal | None:
-        """Return why a job is refused; None if it is taken in."""
+        """Return why a job is refused, or None to accept it."""
         if spec.is_timed():
             return None
         if any(step.is_standing for step in spec.steps):
@@ -43,33 +45,31 @@
 def _check_standing(
     spec: specs.JobSpec, view: base.CellView
 ) -> base.Refusal | None:
-    wanted = sum(s.cpu_millicores * s.task_count for s in spec.steps)
-    left = view.free_millicores - wanted
-    if left >= RESERVE_SHARE * view.capacity_millicores:
+    requested = sum(s.cpu_millicores * s.task_count for s in spec.steps)
+    remaining = view.free_millicores - requested
+    if remaining >= RESERVE_SHARE * view.capacity_millicores:
         return None
     return base.Refusal(
-        reason="no cell has room for a standing job of this size",
-        retry_after_s=STANDING_RETRY_S + _spread_s(spec),
+        reason="no cell has enough free CPU for this long-running job",
+        retry_after_s=STANDING_RETRY_S + _retry_spread_s(spec),
     )
 
 
 def _check_filler(
     spec: specs.JobSpec, view: base.CellView
 ) -> base.Refusal | None:
-    rate = max(
-        view.rate_millicores, LEAST_RATE_SHARE * view.capacity_millicores
-    )
-    done_after_s = (
+    rate = max(view.rate_millicores, MIN_RATE_SHARE * view.capacity_millicores)
+    completes_after_s = (
         view.backlog_millicore_s + specs.filler_millicore_s(spec)
     ) / rate
-    late_s = done_after_s - LATEST_X * specs.objective_s(spec)
+    late_s = completes_after_s - MAX_OBJECTIVE_FACTOR * specs.objective_s(spec)
     if late_s <= 0:
         return None
     return base.Refusal(
-        reason="the job would wait too long to be done in time",
-        retry_after_s=late_s + _spread_s(spec),
+        reason="the job would wait too long to complete in time",
+        retry_after_s=late_s + _retry_spread_s(spec),
     )
 
 
-def _spread_s(spec: specs.JobSpec) -> float:
-    return SPREAD_S * (sum(spec.id.encode()) % 100) / 100
+def _retry_spread_s(spec: specs.JobSpec) -> float:
+    return RETRY_SPREAD_S * (sum(spec.id.encode()) % 100) / 100
--- a/wisteriawood/policies/eviction/__init__.py
+++ b/wisteriawood/policies/eviction/__init__.py
@@ -1,1 +1,1 @@
-"""Policies of eviction, one module each."""
+"""Eviction policies, one module each."""
--- a/wisteriawood/policies/eviction/base.py
+++ b/wisteriawood/policies/eviction/base.py
@@ -1,4 +1,4 @@
-"""What an eviction policy does, and the registry of them."""
+"""Interface and registry of eviction policies."""
 
 import dataclasses
 import random
@@ -17,9 +17,10 @@
     Attributes:
         spec: The task.
         worker: Name of its worker.
-        counted: Resources that it frees.
+        counted: Resources that its eviction frees.
         elapsed_s: Seconds since its attempt was placed.
-        harm: Predicted slowdown of services by it, as a logarithm.
+        harm: Predicted slowdown of services that the task causes, as a
+            logarithm.
     """
 
     spec: tasks.TaskSpec
@@ -30,7 +31,7 @@
 
 
 class EvictionPolicy(typing.Protocol):
-    """Says what an eviction costs; the cheapest goes first."""
+    """Computes the cost of an eviction; the lowest cost is evicted first."""
 
     def cost(self, victim: Victim) -> float:
         """Return the cost of an eviction, above 0.
@@ -41,7 +42,7 @@
 
 
 class EvictionFactory(typing.Protocol):
-    """Makes an eviction policy."""
+    """Creates an eviction policy."""
 
     def __call__(
         self, *, rng: random.Random, team_quotas: quotas.Quotas
@@ -50,7 +51,7 @@
 
         Args:
             rng: Source of random numbers.
-            team_quotas: What teams weigh most.
+            team_quotas: Quotas and weights of the teams.
         """
 
 
@@ -61,11 +62,11 @@
 
 
 def in_order(policy: EvictionPolicy, victims: list[Victim]) -> list[Victim]:
-    """Return tasks in the order of eviction; batch before all others.
+    """Return tasks in the order of eviction, batch jobs first.
 
     Args:
-        policy: Says what each costs.
-        victims: The tasks.
+        policy: Computes the costs.
+        victims: Tasks that could be evicted.
     """
     return sorted(
         victims,
--- a/wisteriawood/policies/eviction/cheapest_resume.py
+++ b/wisteriawood/policies/eviction/cheapest_resume.py
@@ -1,4 +1,4 @@
-"""Eviction of what is cheapest to resume."""
+"""Eviction of the task that is cheapest to resume."""
 
 import random
 
@@ -7,19 +7,19 @@
 
 # Seconds of work that a restart costs.
 RESTART_S = 10.0
-# Core-seconds that writing and reading a GiB of checkpoint costs.
-GIB_CORE_S = 4.0
-# Share of evictions whose checkpoint is taken to be lost.
-LOSS_SHARE = 0.1
+# Core-seconds to write and read a GiB of checkpoint.
+CHECKPOINT_CORE_S_PER_GIB = 4.0
+# Assumed share of evictions in which the checkpoint is lost.
+CHECKPOINT_LOSS_SHARE = 0.1
 
 
 @base.EVICTION.register("cheapest-resume")
 class CheapestResume:
-    """Counts the restart, the checkpoint and the work at risk.
+    """Adds the costs of the restart, the checkpoint and the work at risk.
 
     Args:
         rng: Not used.
-        team_quotas: How teams weigh evictions.
+        team_quotas: Weights that teams give to evictions.
     """
 
     __slots__ = ("_quotas",)
@@ -28,10 +28,13 @@
         self._quotas = team_quotas
 
     def cost(self, victim: base.Victim) -> float:
-        """Return the core-seconds that the eviction costs, weighted."""
+        """Return the cost in core-seconds, times the weight of the team."""
         cores = victim.counted.cores
         memory_gib = victim.counted.memory_bytes / 2**30
-        at_risk_s = LOSS_SHARE * victim.elapsed_s
-        cost = cores * (RESTART_S + at_risk_s) + GIB_CORE_S * memory_gib
+        at_risk_s = CHECKPOINT_LOSS_SHARE * victim.elapsed_s
+        cost = (
+            cores * (RESTART_S + at_risk_s)
+            + CHECKPOINT_CORE_S_PER_GIB * memory_gib
+        )
         weight = self._quotas.of(victim.spec.team).eviction_weight
         return max(weight, 0.01) * cost
--- a/wisteriawood/policies/eviction/newest.py
+++ b/wisteriawood/policies/eviction/newest.py
@@ -1,4 +1,4 @@
-"""Eviction of what was started last."""
+"""Eviction of the task that was placed last."""
 
 import random
 
@@ -21,5 +21,5 @@
         pass
 
     def cost(self, victim: base.Victim) -> float:
-        """Return how long it has run in seconds."""
+        """Return a cost that grows with the seconds since placement."""
         return 1.0 + victim.elapsed_s
--- a/wisteriawood/policies/eviction/random_choice.py
+++ b/wisteriawood/policies/eviction/random_choice.py
@@ -1,4 +1,4 @@
-"""Eviction at random."""
+"""Eviction of a random task."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 @base.EVICTION.register("random")
 class RandomChoice:
-    """Evicts any task first.
+    """Evicts tasks in random order.
 
     Args:
         rng: Source of random numbers.
--- a/wisteriawood/policies/placement/__init__.py
+++ b/wisteriawood/policies/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Policies of placement, one module each."""
+"""Placement policies, one module each."""
--- a/wisteriawood/policies/placement/base.py
+++ b/wisteriawood/policies/placement/base.py
@@ -1,4 +1,4 @@
-"""What a placement policy does, and the registry of them."""
+"""Interface and registry of placement policies."""
 
 import dataclasses
 import random
@@ -15,16 +15,16 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Request:
-    """A task that asks for a worker.
+    """A task to place and the limits on the choice of a worker.
 
     Attributes:
         spec: The task.
-        needs: What it is counted with.
-        among: Workers to choose from, if not from all.
-        avoid: Workers on which it failed.
+        needs: Resources to reserve for it.
+        among: Workers to choose from; None for all.
+        avoid: Names of workers on which it failed.
         now_s: Monotonic time in seconds.
         share: Share of its resources that it starts with, 0 to 1.
-        waited_s: Seconds that it has waited.
+        waited_s: Seconds that it has been pending.
     """
 
     spec: tasks.TaskSpec
@@ -38,56 +38,58 @@
     def sample(
         self, index: indexes.WorkerIndex, count: int
     ) -> list[indexes.Entry]:
-        """Return random workers that can hold the task, at least one.
+        """Return random workers on which the task fits, at least one.
 
         Args:
-            index: The workers.
-            count: Most workers to return.
+            index: Index of the workers.
+            count: Maximum number of workers to return.
 
         Raises:
-            NoRoomError: There is none.
+            NoRoomError: The task fits on none of them.
         """
-        drawn = self.among
-        if drawn is None:
-            drawn = index.sample(self.needs, count)
-        return self._allowed(drawn)
+        candidates = self.among
+        if candidates is None:
+            candidates = index.sample(self.needs, count)
+        return self._allowed(candidates)
 
     def scan(self, index: indexes.WorkerIndex) -> list[indexes.Entry]:
-        """Return all workers that can hold the task, at least one.
+        """Return all workers on which the task fits, at least one.
 
         Args:
-            index: The workers.
+            index: Index of the workers.
 
         Raises:
-            NoRoomError: There is none.
+            NoRoomError: The task fits on none of them.
         """
-        found = self.among
-        if found is None:
-            found = index.fitting(self.needs)
-        return self._allowed(found)
+        candidates = self.among
+        if candidates is None:
+            candidates = index.fitting(self.needs)
+        return self._allowed(candidates)
 
-    def _allowed(self, found: list[indexes.Entry]) -> list[indexes.Entry]:
+    def _allowed(self, candidates: list[indexes.Entry]) -> list[indexes.Entry]:
         allowed = [
-            entry for entry in found if entry.worker.name not in self.avoid
+            entry
+            for entry in candidates
+            if entry.worker.name not in self.avoid
         ]
         if not allowed:
-            raise no_room(self.needs)
+            raise no_room_error(self.needs)
         return allowed
 
 
 class NoRoomError(errors.PlacementError):
-    """No worker that was looked at has enough free."""
+    """No worker that was considered has enough free capacity."""
 
 
 class HarmError(errors.PlacementError):
     """The task would slow services by more than their team allows."""
 
 
-def no_room(needs: resources.Resources) -> NoRoomError:
-    """Return the error that no worker has an amount free.
+def no_room_error(needs: resources.Resources) -> NoRoomError:
+    """Return the error for resources that no worker has free.
 
     Args:
-        needs: The amount.
+        needs: The resources.
     """
     gib = needs.memory_bytes / 2**30
     return NoRoomError(
@@ -102,20 +104,21 @@
     def choose(
         self, request: Request, index: indexes.WorkerIndex
     ) -> indexes.Entry:
-        """Return a worker that can hold the task.
+        """Return a worker on which the task fits.
 
         Args:
             request: The task.
-            index: Workers that take new tasks.
+            index: Index of the workers that accept new tasks.
 
         Raises:
-            NoRoomError: No worker can hold it.
-            HarmError: It would slow services too much.
+            NoRoomError: The task fits on no worker.
+            HarmError: It would slow services by more than their team
+                allows.
         """
 
 
 class PlacementFactory(typing.Protocol):
-    """Makes a placement policy."""
+    """Creates a placement policy."""
 
     def __call__(
         self,
@@ -128,8 +131,8 @@
 
         Args:
             rng: Source of random numbers.
-            estimates: What is known of slowdowns.
-            team_quotas: What teams weigh most.
+            estimates: Predicted slowdowns of classes by each other.
+            team_quotas: Quotas and weights of the teams.
         """
 
 
--- a/wisteriawood/policies/placement/first_fit.py
+++ b/wisteriawood/policies/placement/first_fit.py
@@ -1,4 +1,4 @@
-"""Placement on the first worker that fits."""
+"""Placement on the first worker on which the task fits."""
 
 from wisteriawood.machines import indexes
 from wisteriawood.policies.placement import base
@@ -6,7 +6,7 @@
 
 @base.PLACEMENT.register("first-fit")
 class FirstFit:
-    """Chooses the first worker that fits, by a scan.
+    """Scans the workers and chooses the first on which the task fits.
 
     Args:
         context: Not used.
@@ -20,5 +20,5 @@
     def choose(
         self, request: base.Request, index: indexes.WorkerIndex
     ) -> indexes.Entry:
-        """Return the first worker that fits."""
+        """Return the first worker on which the task fits."""
         return request.scan(index)[0]
--- a/wisteriawood/policies/placement/least_harm.py
+++ b/wisteriawood/policies/placement/least_harm.py
@@ -1,4 +1,4 @@
-"""Placement where the task and its neighbours harm each other least."""
+"""Placement where the task and its neighbours slow each other least."""
 
 import math
 import random
@@ -9,34 +9,41 @@
 from wisteriawood.policies import interference
 from wisteriawood.policies.placement import base
 
-SAMPLE = 12
-# More for services, which are few, so that they spread evenly over racks.
-SERVICE_SAMPLE = 64
-# Slowdown of a service that a team of weight 1 allows.
+SAMPLE_SIZE = 12
+# Services are few, so a larger sample is affordable and spreads them evenly
+# over racks.
+SERVICE_SAMPLE_SIZE = 64
+# Slowdown of its services that a team with a tail latency weight of 1
+# allows.
 ALLOWED_SLOWDOWN = 1.08
-# Weight of a batch job that uses a whole worker, against one service.
+# Weight of a batch job that uses a whole worker, relative to one service.
 BATCH_WEIGHT = 4.0
-# Cost of another instance of a group on one worker, by the square of those
-# there, and of one in the same rack.
+# Cost of another instance of a group on the same worker, multiplied by the
+# square of the number of instances there, and cost for each instance in the
+# same rack.
 SAME_WORKER_COST = 0.04
 SAME_RACK_COST = 0.4
-# Cost of a first service on a worker: batch that is noisy can't go there.
+# Cost of the first service on a worker: batch jobs that slow services can no
+# longer be placed there.
 FIRST_SERVICE_COST = 0.3
-# Cost of a whole worker's load of batch where no services are, so that
-# quiet batch leaves that room to noisy batch.
-CALM_COST = 1.0
-# Cost of what goes beyond the slowdown that a team allows.
-OVER_COST = 20.0
-# A batch job waits where it would take more than this share of its own
-# speed from the batch jobs beside it; the share grows with the wait.
-LOSS_LIMIT = 0.7
-PATIENCE_S = 60.0
-# Cost of free cores that are left over, so that large holes remain.
-HOLE_COST = 0.01
+# Cost of a batch job that uses a whole worker without services, so that
+# batch jobs which slow others little leave these workers to those which slow
+# others a lot.
+BATCH_ONLY_WORKER_COST = 1.0
+# Cost of a slowdown, as a logarithm, above the one that a team allows.
+EXCESS_SLOWDOWN_COST = 20.0
+# A batch job is not placed where the batch jobs beside it would lose more
+# than this multiple of the throughput that it gains; the limit increases by
+# this value for each LOSS_RATIO_PERIOD_S that the job waits.
+MAX_LOSS_RATIO = 0.7
+LOSS_RATIO_PERIOD_S = 60.0
+# Cost of the cores that stay free on a worker, so that tasks are packed and
+# other workers keep large amounts free.
+UNUSED_CORES_COST = 0.01
 
 
 def ceiling(quota: quotas.Quota) -> float:
-    """Return the logarithm of the slowdown that a team allows.
+    """Return the logarithm of the slowdown of its services that a team allows.
 
     Args:
         quota: Quota of the team.
@@ -47,15 +54,18 @@
 
 @base.PLACEMENT.register("least-harm")
 class LeastHarm:
-    """Chooses, of a few random workers, the one with the least harm.
+    """Chooses the worker with the lowest cost from a random sample.
+
+    The cost adds the predicted slowdowns of the task and of its neighbours,
+    weighted by their teams, and terms for spreading and packing.
 
     Batch jobs are not placed where they would slow a service by more than
-    its team allows; they wait instead.
+    its team allows; they remain pending instead.
 
     Args:
         rng: Not used; the index draws the sample.
-        estimates: What is known of slowdowns.
-        team_quotas: What teams weigh most.
+        estimates: Predicted slowdowns of classes by each other.
+        team_quotas: Quotas and weights of the teams.
     """
 
     __slots__ = ("_estimates", "_quotas")
@@ -73,20 +83,21 @@
     def choose(
         self, request: base.Request, index: indexes.WorkerIndex
     ) -> indexes.Entry:
-        """Return the worker with the least harm, of a sample."""
+        """Return the worker with the lowest cost from a sample."""
         is_batch = request.spec.kind == tasks.TaskKind.BATCH
-        count = SAMPLE if is_batch else SERVICE_SAMPLE
+        count = SAMPLE_SIZE if is_batch else SERVICE_SAMPLE_SIZE
         fitting = request.sample(index, count)
-        best, least = None, math.inf
+        best, lowest_cost = None, math.inf
         for entry in fitting:
             cost = self._cost(request, entry, index)
-            if cost < least:
-                best, least = entry, cost
+            if cost < lowest_cost:
+                best, lowest_cost = entry, cost
         if best is None:
             raise base.HarmError(
-                f"{len(fitting)} workers have room, but services there "
-                "would be slowed by more than their team allows, or batch "
-                "jobs by more than this one would get done"
+                f"{len(fitting)} workers have enough free capacity, but "
+                "services there would be slowed by more than their team "
+                "allows, or batch jobs would lose more throughput than this "
+                "one gains"
             )
         return best
 
@@ -101,100 +112,111 @@
         if is_batch and entry.is_hot and not spec.urgent:
             return math.inf
         if request.share < 1.0 and not entry.groups:
-            # Batch jobs beside it are spared by waiting, not by throttling.
+            # Throttling protects services only; a job that would slow other
+            # batch jobs too much waits instead.
             return math.inf
         load = request.needs.cores / entry.worker.capacity.cores
         load *= request.share
         name = indexes.class_of(spec)
         harm = self._estimates.harm
         now_s = request.now_s
-        own = 0.0
+        own_log_slowdown = 0.0
         batch_loss = 0.0
         cost = 0.0
         for other in entry.neighbours.values():
-            own += harm(name, other.name, now_s) * other.load
+            own_log_slowdown += harm(name, other.name, now_s) * other.load
             added = harm(other.name, name, now_s) * load
-            pressure = self._pressure(entry, other, request)
+            log_slowdown = self._log_slowdown(entry, other, request)
             if other.kind == tasks.TaskKind.BATCH:
                 weight = self._quotas.of(other.team).throughput_weight
-                loss = other.load * math.exp(-pressure) * added
+                loss = other.load * math.exp(-log_slowdown) * added
                 batch_loss += loss
                 cost += weight * BATCH_WEIGHT * loss
             else:
-                cost += self._cost_to(request, other, pressure, added)
+                cost += self._neighbour_service_cost(
+                    request, other, log_slowdown, added
+                )
         if is_batch:
-            cost += self._cost_of_batch(request, entry, load, own, batch_loss)
+            cost += self._batch_cost(
+                request, entry, load, own_log_slowdown, batch_loss
+            )
         else:
-            cost += self._cost_of_service(spec, entry, index, own)
-        left = entry.worker.free.cores - request.needs.cores
-        return cost + HOLE_COST * left / entry.worker.capacity.cores
+            cost += self._service_cost(spec, entry, index, own_log_slowdown)
+        unused_cores = entry.worker.free.cores - request.needs.cores
+        return (
+            cost
+            + UNUSED_CORES_COST * unused_cores / entry.worker.capacity.cores
+        )
 
-    def _cost_to(
+    def _neighbour_service_cost(
         self,
         request: base.Request,
         other: interference.Neighbour,
-        pressure: float,
+        log_slowdown: float,
         added: float,
     ) -> float:
         quota = self._quotas.of(other.team)
-        over = pressure + added - ceiling(quota)
+        excess = log_slowdown + added - ceiling(quota)
         is_batch = request.spec.kind == tasks.TaskKind.BATCH
-        if over > 0 and is_batch and not request.spec.urgent:
+        if excess > 0 and is_batch and not request.spec.urgent:
             return math.inf
         weight = quota.tail_latency_weight * other.count
-        return weight * (added + OVER_COST * max(0.0, over))
+        return weight * (added + EXCESS_SLOWDOWN_COST * max(0.0, excess))
 
-    def _cost_of_batch(
+    def _batch_cost(
         self,
         request: base.Request,
         entry: indexes.Entry,
         load: float,
-        own: float,
+        own_log_slowdown: float,
         batch_loss: float,
     ) -> float:
-        gain = load * math.exp(-own)
-        patience = 1.0 + request.waited_s / PATIENCE_S
-        if batch_loss > LOSS_LIMIT * patience * gain:
+        gain = load * math.exp(-own_log_slowdown)
+        limit_factor = 1.0 + request.waited_s / LOSS_RATIO_PERIOD_S
+        if batch_loss > MAX_LOSS_RATIO * limit_factor * gain:
             if not request.spec.urgent:
                 return math.inf
         quota = self._quotas.of(request.spec.team)
         cost = quota.throughput_weight * BATCH_WEIGHT * (load - gain)
-        return cost if entry.groups else cost + CALM_COST * load
+        return cost if entry.groups else cost + BATCH_ONLY_WORKER_COST * load
 
-    def _cost_of_service(
+    def _service_cost(
         self,
         spec: tasks.TaskSpec,
         entry: indexes.Entry,
         index: indexes.WorkerIndex,
-        own: float,
+        own_log_slowdown: float,
     ) -> float:
         quota = self._quotas.of(spec.team)
-        over = max(0.0, own - ceiling(quota))
+        excess = max(0.0, own_log_slowdown - ceiling(quota))
         group = indexes.group_of(spec)
         in_rack = index.rack_groups.get((entry.worker.rack, group), 0)
         on_worker = entry.groups.get(group, 0)
-        first = 0.0 if entry.groups else FIRST_SERVICE_COST
+        first_cost = 0.0 if entry.groups else FIRST_SERVICE_COST
         return (
-            quota.tail_latency_weight * (own + OVER_COST * over)
-            + first
+            quota.tail_latency_weight
+            * (own_log_slowdown + EXCESS_SLOWDOWN_COST * excess)
+            + first_cost
             + SAME_WORKER_COST * on_worker**2
             + SAME_RACK_COST * in_rack
         )
 
-    def _pressure(
+    def _log_slowdown(
         self,
         entry: indexes.Entry,
         victim: interference.Neighbour,
         request: base.Request,
     ) -> float:
-        found = entry.pressures.get(victim.name)
-        if found is None:
-            found = 0.0
+        log_slowdown = entry.pressures.get(victim.name)
+        if log_slowdown is None:
+            log_slowdown = 0.0
             for other in entry.neighbours.values():
                 load = other.load
                 if other is victim:
                     load -= load / other.count
                 harm = self._estimates.harm
-                found += harm(victim.name, other.name, request.now_s) * load
-            entry.pressures[victim.name] = found
-        return found
+                log_slowdown += (
+                    harm(victim.name, other.name, request.now_s) * load
+                )
+            entry.pressures[victim.name] = log_slowdown
+        return log_slowdown
--- a/wisteriawood/policies/placement/least_loaded.py
+++ b/wisteriawood/policies/placement/least_loaded.py
@@ -6,10 +6,10 @@
 
 @base.PLACEMENT.register("least-loaded")
 class LeastLoaded:
-    """Chooses the worker with the most free cores, by a scan.
+    """Scans the workers and chooses the one with the most free cores.
 
     Args:
-        context: Not used; ties go to the first.
+        context: Not used; the first of equal workers is chosen.
     """
 
     __slots__ = ()
@@ -20,7 +20,7 @@
     def choose(
         self, request: base.Request, index: indexes.WorkerIndex
     ) -> indexes.Entry:
-        """Return the worker with the most free cores that fits."""
+        """Return the worker with the most free cores."""
         return max(
             request.scan(index), key=lambda entry: entry.worker.free.cores
         )
--- a/wisteriawood/policies/placement/random_fit.py
+++ b/wisteriawood/policies/placement/random_fit.py
@@ -1,16 +1,16 @@
-"""Placement on a random worker that fits."""
+"""Placement on a random worker on which the task fits."""
 
 import random
 
 from wisteriawood.machines import indexes
 from wisteriawood.policies.placement import base
 
-SAMPLE = 4
+SAMPLE_SIZE = 4
 
 
 @base.PLACEMENT.register("random")
 class RandomFit:
-    """Chooses a random worker that fits.
+    """Chooses a random worker on which the task fits.
 
     Args:
         rng: Source of random numbers.
@@ -25,5 +25,5 @@
     def choose(
         self, request: base.Request, index: indexes.WorkerIndex
     ) -> indexes.Entry:
-        """Return a random worker that fits."""
-        return self._rng.choice(request.sample(index, SAMPLE))
+        """Return a random worker on which the task fits."""
+        return self._rng.choice(request.sample(index, SAMPLE_SIZE))
--- a/wisteriawood/policies/registry.py
+++ b/wisteriawood/policies/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill."""
+"""Registries of named implementations, filled by decorators."""
 
 import importlib
 import pkgutil
@@ -11,10 +11,10 @@
 
 
 class Registry(typing.Generic[Item]):
-    """Named variants of one behaviour.
+    """Implementations of one interface, by name.
 
     Args:
-        kind: What the variants are, for messages.
+        kind: What is registered, for error messages.
     """
 
     __slots__ = ("_items", "kind")
@@ -24,10 +24,10 @@
         self._items: dict[str, Item] = {}
 
     def register(self, name: str) -> typing.Callable[[Item], Item]:
-        """Return a decorator that adds a variant.
+        """Return a decorator that registers an implementation.
 
         Args:
-            name: Name by which settings choose the variant.
+            name: Name by which settings select it.
         """
 
         def _add(item: Item) -> Item:
@@ -37,20 +37,21 @@
         return _add
 
     def get(self, name: str) -> Item:
-        """Return the variant of a name.
+        """Return the implementation with a name.
 
         Raises:
-            UsageError: There is none; the message lists the names.
+            UsageError: The name is not registered; the message lists the
+                registered ones.
         """
         if name not in self._items:
             raise errors.UsageError(
-                f"no {self.kind} is named {name!r}; "
+                f"unknown {self.kind} {name!r}; "
                 f"choose one of {', '.join(self.names())}"
             )
         return self._items[name]
 
     def names(self) -> list[str]:
-        """Return the names in order."""
+        """Return the registered names, sorted."""
         return sorted(self._items)
 
 
@@ -58,7 +59,7 @@
     """Import each module of a package, so that its decorators run.
 
     Args:
-        package: The package whose modules hold the variants.
+        package: Package whose modules register implementations.
     """
     for module in pkgutil.iter_modules(package.__path__):
         if module.name == "__main__":
--- a/wisteriawood/policies/retrying/__init__.py
+++ b/wisteriawood/policies/retrying/__init__.py
@@ -1,1 +1,1 @@
-"""Policies of retrying, one module each."""
+"""Retry policies, one module each."""
--- a/wisteriawood/policies/retrying/base.py
+++ b/wisteriawood/policies/retrying/base.py
@@ -1,4 +1,4 @@
-"""What a retry policy does, and the registry of them."""
+"""Interface and registry of retry policies."""
 
 import random
 import typing
@@ -7,27 +7,27 @@
 
 
 class RetryPolicy(typing.Protocol):
-    """Says whether and when a failed request of a service is retried."""
+    """Decides whether and when failed requests of a service are retried."""
 
     def succeeded(self) -> None:
-        """Record a good answer."""
+        """Record a successful request."""
 
     def available(self) -> int:
         """Return how many retries are allowed now."""
 
     def spend(self, *, failures: int) -> float | None:
-        """Take one retry out of those allowed.
+        """Use one of the allowed retries.
 
         Args:
             failures: Attempts of the request that have failed.
 
         Returns:
-            Seconds to pause before the retry; None if there is to be none.
+            Seconds to pause before the retry; None if there is no retry.
         """
 
 
 class RetryFactory(typing.Protocol):
-    """Makes a retry policy."""
+    """Creates a retry policy."""
 
     def __call__(self, *, rng: random.Random) -> RetryPolicy:
         """Return a new policy.
--- a/wisteriawood/policies/retrying/never.py
+++ b/wisteriawood/policies/retrying/never.py
@@ -1,4 +1,4 @@
-"""No retries, the yardstick of the others."""
+"""No retries, the baseline for the other policies."""
 
 import random
 
@@ -7,7 +7,7 @@
 
 @base.RETRYING.register("never")
 class Never:
-    """Retries nothing.
+    """Never retries a request.
 
     Args:
         rng: Not used.
@@ -19,7 +19,7 @@
         pass
 
     def succeeded(self) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def available(self) -> int:
         """Return 0."""
--- a/wisteriawood/policies/routing/__init__.py
+++ b/wisteriawood/policies/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Policies of routing, one module each."""
+"""Routing policies, one module each."""
--- a/wisteriawood/policies/routing/base.py
+++ b/wisteriawood/policies/routing/base.py
@@ -1,4 +1,4 @@
-"""What a routing policy does, and the registry of them."""
+"""Interface and registry of routing policies."""
 
 import random
 import typing
@@ -20,27 +20,29 @@
         """Return one of the targets with a free slot, or None to wait.
 
         Args:
-            free: The targets with a free slot, at least one.
-            busy: The other targets that may be used.
-            queued: Requests that want a slot, this one included.
+            free: Targets with a free slot, at least one.
+            busy: The other usable targets, which have no free slot.
+            queued: Number of requests that wait for a slot, including this
+                one.
         """
 
     def observe(self, target: targets.Target, *, latency_s: float) -> None:
-        """Learn from an answer.
+        """Record the latency of a request.
 
         Args:
             target: Target that answered.
-            latency_s: Time that the request took at the target.
+            latency_s: Time that the request took at the target, in
+                seconds.
         """
 
     def slowdowns(self) -> dict[str, float]:
-        """Return how many times slower than its peers each slow target is."""
+        """Return the slow targets by id, with their slowdown factor."""
 
     def tend(self) -> None:
-        """Do what is due by time alone; called several times a second."""
+        """Update what changes with time; called several times a second."""
 
     def forget(self, target_id: str) -> None:
-        """Drop what is known of a target that has left.
+        """Discard the state of a target that was removed.
 
         Args:
             target_id: Id of the target.
@@ -48,7 +50,7 @@
 
 
 class BasePolicy:
-    """What the policies share: they learn nothing, unless they say so.
+    """Base of policies; keeps no state about targets unless overridden.
 
     Args:
         rng: Source of random numbers.
@@ -60,21 +62,21 @@
         self._rng = rng
 
     def observe(self, target: targets.Target, *, latency_s: float) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def slowdowns(self) -> dict[str, float]:
-        """Return nothing: no target is known to be slow."""
+        """Return no targets."""
         return {}
 
     def tend(self) -> None:
-        """Do nothing: nothing that was learned fades."""
+        """Do nothing."""
 
     def forget(self, target_id: str) -> None:
-        """Drop nothing."""
+        """Do nothing."""
 
 
 class RoutingFactory(typing.Protocol):
-    """Makes a routing policy."""
+    """Creates a routing policy."""
 
     def __call__(self, *, rng: random.Random) -> RoutingPolicy:
         """Return a new policy.
--- a/wisteriawood/policies/routing/latency_aware.py
+++ b/wisteriawood/policies/routing/latency_aware.py
@@ -1,16 +1,17 @@
-"""Routing by the latency that each target showed lately."""
+"""Routing by the recent latency of each target."""
 
 import random
 
 from wisteriawood.machines import targets
 from wisteriawood.policies.routing import base
 
-WEIGHT_OF_NEWEST = 1 / 16
+# Weight of a new sample in the moving average.
+SMOOTHING_FACTOR = 1 / 16
 
 
 @base.ROUTING.register("latency-aware")
 class LatencyAware(base.BasePolicy):
-    """Chooses the least product of mean latency and requests in flight.
+    """Chooses the lowest product of mean latency and requests in flight.
 
     Args:
         rng: Not used.
@@ -29,18 +30,18 @@
         busy: list[targets.Target],
         queued: int,
     ) -> targets.Target | None:
-        """Return the target with the least expected load."""
+        """Return the target with the lowest product."""
         return min(free, key=self._score)
 
     def _score(self, target: targets.Target) -> float:
         return self._mean_s.get(target.id, 0.0) * (target.in_flight + 1)
 
     def observe(self, target: targets.Target, *, latency_s: float) -> None:
-        """Learn the latency of a target."""
+        """Update the mean latency of a target."""
         mean_s = self._mean_s.get(target.id, latency_s)
-        mean_s += WEIGHT_OF_NEWEST * (latency_s - mean_s)
+        mean_s += SMOOTHING_FACTOR * (latency_s - mean_s)
         self._mean_s[target.id] = mean_s
 
     def forget(self, target_id: str) -> None:
-        """Drop the latency of a target that has left."""
+        """Discard the latency of a target that was removed."""
         self._mean_s.pop(target_id, None)
--- a/wisteriawood/policies/routing/least_in_flight.py
+++ b/wisteriawood/policies/routing/least_in_flight.py
@@ -1,4 +1,4 @@
-"""Routing to the target with the fewest own requests in flight."""
+"""Routing to the target with the fewest requests of this host in flight."""
 
 from wisteriawood.machines import targets
 from wisteriawood.policies.routing import base
@@ -6,7 +6,7 @@
 
 @base.ROUTING.register("least-in-flight")
 class LeastInFlight(base.BasePolicy):
-    """Chooses the target with the fewest requests in flight.
+    """Chooses the target with the fewest requests of this host in flight.
 
     Args:
         rng: Breaks ties.
--- a/wisteriawood/policies/routing/random_target.py
+++ b/wisteriawood/policies/routing/random_target.py
@@ -1,4 +1,4 @@
-"""Routing to any target with a free slot, the yardstick of the others."""
+"""Routing to a random target, the baseline for the other policies."""
 
 from wisteriawood.machines import targets
 from wisteriawood.policies.routing import base
@@ -6,10 +6,10 @@
 
 @base.ROUTING.register("random")
 class RandomTarget(base.BasePolicy):
-    """Chooses any target with a free slot.
+    """Chooses a random target with a free slot.
 
     Args:
-        rng: Makes the choices.
+        rng: Source of random numbers.
     """
 
     __slots__ = ()
@@ -21,5 +21,5 @@
         busy: list[targets.Target],
         queued: int,
     ) -> targets.Target | None:
-        """Return any of the targets."""
+        """Return a random target."""
         return self._rng.choice(free)
--- a/wisteriawood/policies/routing/round_robin.py
+++ b/wisteriawood/policies/routing/round_robin.py
@@ -8,7 +8,7 @@
 
 @base.ROUTING.register("round-robin")
 class RoundRobin(base.BasePolicy):
-    """Goes through the targets by id and skips those without a free slot.
+    """Cycles through the targets by id, skipping those without a free slot.
 
     Args:
         rng: Not used.
@@ -27,7 +27,7 @@
         busy: list[targets.Target],
         queued: int,
     ) -> targets.Target | None:
-        """Return the free target that follows the one chosen last."""
+        """Return the free target whose id follows the last one chosen."""
         later = [target for target in free if target.id > self._last_id]
         chosen = min(later or free, key=lambda target: target.id)
         self._last_id = chosen.id
--- a/wisteriawood/policies/routing/two_choices.py
+++ b/wisteriawood/policies/routing/two_choices.py
@@ -1,4 +1,4 @@
-"""Routing to the less loaded of two targets taken at random."""
+"""Routing to the less loaded of two random targets."""
 
 from wisteriawood.machines import targets
 from wisteriawood.policies.routing import base
@@ -6,10 +6,10 @@
 
 @base.ROUTING.register("two-choices")
 class TwoChoices(base.BasePolicy):
-    """Chooses the target with fewer requests in flight out of two.
+    """Chooses the one of two random targets with fewer requests in flight.
 
     Args:
-        rng: Takes the two.
+        rng: Source of random numbers.
     """
 
     __slots__ = ()
@@ -21,7 +21,7 @@
         busy: list[targets.Target],
         queued: int,
     ) -> targets.Target | None:
-        """Return the less loaded of two targets."""
+        """Return the less loaded of two random targets."""
         one = self._rng.choice(free)
         other = self._rng.choice(free)
         return other if other.in_flight < one.in_flight else one
--- a/wisteriawood/policies/sizes.py
+++ b/wisteriawood/policies/sizes.py
@@ -1,10 +1,11 @@
-"""Sizes of tasks, learned from usage reports."""
+"""Prediction of the resources that tasks use, from usage reports."""
 
 import array
 
 from wisteriawood.contracts import resources
 
-HISTORY = 32
+# Samples that are kept for each class.
+WINDOW_SIZE = 32
 MIN_SAMPLES = 4
 CORES_QUANTILE = 0.6
 CORES_MARGIN = 1.0
@@ -12,48 +13,56 @@
 MAX_CLASSES = 4096
 
 
-class Ring:
-    """The newest values of one figure.
+class QuantileWindow:
+    """A sliding window over the newest values of one quantity.
 
     Args:
-        quantile: Quantile that is asked for, 0 to 1.
+        quantile: Quantile that value() returns, 0 to 1.
     """
 
-    __slots__ = ("_next", "_quantile", "_value", "_values")
+    __slots__ = ("_cached_value", "_oldest_index", "_quantile", "_values")
 
     def __init__(self, *, quantile: float):
-        self._next = 0
+        self._oldest_index = 0
         self._quantile = quantile
-        self._value: float | None = None
+        self._cached_value: float | None = None
         self._values = array.array("f")
 
     def add(self, value: float) -> None:
-        """Add a value; the oldest one is forgotten."""
-        self._value = None
-        if len(self._values) < HISTORY:
+        """Add a value; a full window drops the oldest one."""
+        self._cached_value = None
+        if len(self._values) < WINDOW_SIZE:
             self._values.append(value)
             return
-        self._values[self._next] = value
-        self._next = (self._next + 1) % HISTORY
+        self._values[self._oldest_index] = value
+        self._oldest_index = (self._oldest_index + 1) % WINDOW_SIZE
 
     def value(self) -> float:
-        """Return the quantile of the values."""
-        if self._value is None:
-            found = sorted(self._values)
-            place = min(len(found) - 1, int(self._quantile * len(found)))
-            self._value = found[place]
-        return self._value
-
-    def spread(self) -> float:
-        """Return how far the values lie apart, as a ratio; 1 if alike."""
-        found = sorted(self._values)
-        low = found[len(found) // 10]
-        high = found[len(found) - 1 - len(found) // 10]
+        """Return the quantile of the values in the window."""
+        if self._cached_value is None:
+            ordered = sorted(self._values)
+            index = min(len(ordered) - 1, int(self._quantile * len(ordered)))
+            self._cached_value = ordered[index]
+        return self._cached_value
+
+    def spread_ratio(self) -> float:
+        """Return the 90th percentile divided by the 10th."""
+        ordered = sorted(self._values)
+        low = ordered[len(ordered) // 10]
+        high = ordered[len(ordered) - 1 - len(ordered) // 10]
         return high / max(low, 1e-6)
 
 
 class ClassSizes:
-    """What the tasks of one class were seen to use."""
+    """Peak usage of the tasks of one class.
+
+    Attributes:
+        count: Number of tasks observed.
+        cores: Cores used.
+        cores_ratio: Cores used, divided by those declared.
+        memory_bytes: Memory used.
+        memory_ratio: Memory used, divided by that declared.
+    """
 
     __slots__ = (
         "cores",
@@ -65,19 +74,20 @@
 
     def __init__(self):
         self.count = 0
-        self.cores = Ring(quantile=CORES_QUANTILE)
-        self.cores_ratio = Ring(quantile=CORES_QUANTILE)
-        self.memory_bytes = Ring(quantile=1.0)
-        self.memory_ratio = Ring(quantile=1.0)
+        self.cores = QuantileWindow(quantile=CORES_QUANTILE)
+        self.cores_ratio = QuantileWindow(quantile=CORES_QUANTILE)
+        self.memory_bytes = QuantileWindow(quantile=1.0)
+        self.memory_ratio = QuantileWindow(quantile=1.0)
 
 
 class Sizes:
-    """Predicts what a task uses from its class and what it declares.
+    """Predicts what a task uses from its class and its declared needs.
 
-    Two figures are learned for each class: the use itself, and the use as a
-    ratio of what was declared. The one that varies less counts for cores,
-    the lower bound for memory, so a class whose tasks are alike and one
-    whose declarations are wrong in the same way are both predicted closely.
+    For each class it records the usage itself and the ratio of the usage to
+    the declared needs. For cores it uses the one that varies less, for
+    memory the one that predicts less. So it predicts closely both for
+    classes whose tasks are alike and for classes whose declarations are off
+    by a constant factor.
     """
 
     __slots__ = ("_classes",)
@@ -89,10 +99,10 @@
         return len(self._classes)
 
     def is_known(self, name: str) -> bool:
-        """Tell whether enough was seen of a class to predict its tasks.
+        """Return whether a class has enough samples for a prediction.
 
         Args:
-            name: The class.
+            name: Name of the class.
         """
         found = self._classes.get(name)
         return found is not None and found.count >= MIN_SAMPLES
@@ -104,12 +114,12 @@
         declared: resources.Resources,
         used: resources.Resources,
     ) -> None:
-        """Learn from what one task used at its peak.
+        """Record the peak usage of one task.
 
         Args:
             name: Class of the task.
-            declared: What it declared.
-            used: What it used.
+            declared: Resources that it declared.
+            used: Resources that it used at its peak.
         """
         found = self._classes.get(name)
         if found is None:
@@ -127,21 +137,21 @@
     def predict(
         self, name: str, declared: resources.Resources
     ) -> resources.Resources:
-        """Return what a task is counted with.
+        """Return the resources to reserve for a task.
 
         Args:
             name: Class of the task.
-            declared: What it declares.
+            declared: Resources that it declares.
 
         Returns:
-            The learned size with a margin, or the declared one as long as
-            too little is known of the class.
+            The predicted usage with a margin, or the declared resources
+            while the class has fewer than MIN_SAMPLES samples.
         """
         found = self._classes.get(name)
         if found is None or found.count < MIN_SAMPLES:
             return declared
         cores = found.cores.value()
-        if found.cores_ratio.spread() < found.cores.spread():
+        if found.cores_ratio.spread_ratio() < found.cores.spread_ratio():
             cores = found.cores_ratio.value() * declared.cores
         memory_bytes = min(
             found.memory_bytes.value(),
--- a/wisteriawood/policies/spreading/__init__.py
+++ b/wisteriawood/policies/spreading/__init__.py
@@ -1,1 +1,1 @@
-"""Policies that choose the worker of a run."""
+"""Spreading policies, which choose the worker of a run; one module each."""
--- a/wisteriawood/policies/spreading/base.py
+++ b/wisteriawood/policies/spreading/base.py
@@ -1,4 +1,4 @@
-"""What the policies of spreading share."""
+"""Interface and registry of spreading policies."""
 
 import typing
 
@@ -11,7 +11,7 @@
 
 
 class SpreadingPolicy(typing.Protocol):
-    """Chooses the worker of a run among those that have room."""
+    """Chooses the worker of a run from those with enough free capacity."""
 
     def choose(
         self,
@@ -19,12 +19,12 @@
         step: specs.StepSpec,
         book: pressure.PressureBook,
     ) -> workers.Worker | None:
-        """Return the best worker, or None to wait.
+        """Return the chosen worker, or None to wait.
 
         Args:
-            candidates: Usable workers that have room, never empty.
+            candidates: Usable workers with enough free capacity, at least one.
             step: Step of the task.
-            book: What is known of how fillers disturb serving tasks.
+            book: Model of how fillers slow latency-sensitive tasks.
         """
 
 
--- a/wisteriawood/policies/spreading/first_fit.py
+++ b/wisteriawood/policies/spreading/first_fit.py
@@ -1,4 +1,4 @@
-"""Spreading to the first worker that has room."""
+"""Spreading to the first worker with enough free capacity."""
 
 from wisteriawood.cells import pressure
 from wisteriawood.cells import workers
@@ -8,7 +8,7 @@
 
 @base.POLICIES.register("first-fit")
 class FirstFit:
-    """Takes the worker that comes first by id."""
+    """Chooses the worker with the lowest id."""
 
     __slots__ = ()
 
@@ -18,6 +18,6 @@
         step: specs.StepSpec,
         book: pressure.PressureBook,
     ) -> workers.Worker | None:
-        """Return the first worker by id."""
+        """Return the worker with the lowest id."""
         del step, book
         return min(candidates, key=lambda worker: worker.id)
--- a/wisteriawood/policies/throttling/__init__.py
+++ b/wisteriawood/policies/throttling/__init__.py
@@ -1,1 +1,1 @@
-"""Policies of throttling, one module each."""
+"""Throttling policies, one module each."""
--- a/wisteriawood/policies/throttling/base.py
+++ b/wisteriawood/policies/throttling/base.py
@@ -1,22 +1,23 @@
-"""What a throttling policy does, and the registry of them."""
+"""Interface and registry of throttling policies."""
 
 import dataclasses
 import typing
 
 from wisteriawood.policies import registry
 
-# Slowdown, as a logarithm, below which a job is not worth an order.
+# Slowdown of the services, as a logarithm, below which a job is neither
+# throttled nor evicted.
 LEAST_HARM = 0.004
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Culprit:
-    """A batch job beside services.
+    """A batch job on a worker with services.
 
     Attributes:
         task: Id of the task.
-        harm: Predicted slowdown of the services by it, as a logarithm, if
-            it ran at its full share.
+        harm: Predicted slowdown of the services that the job causes at its
+            full share, as a logarithm.
         share: Share of its resources that it may use now, 0 to 1.
     """
 
@@ -25,7 +26,7 @@
     share: float = 1.0
 
     def present_harm(self) -> float:
-        """Return the slowdown by it at its present share."""
+        """Return the slowdown that the job causes at its current share."""
         return self.harm * self.share
 
 
@@ -35,9 +36,9 @@
 
     Attributes:
         worker: Name of the worker.
-        excess: Greatest slowdown of a service on it against what its team
-            allows; above 1 is too much.
-        culprits: Batch jobs on it.
+        excess: Slowdown of a service divided by the one that its team
+            allows, the highest on the worker; above 1 is too much.
+        culprits: Batch jobs on the worker.
         now_s: Monotonic time in seconds.
     """
 
@@ -49,7 +50,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Throttle:
-    """An order to limit a task.
+    """A command to limit a task.
 
     Attributes:
         task: Id of the task.
@@ -62,11 +63,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Verdict:
-    """What is to be done on a worker.
+    """What to do on a worker.
 
     Attributes:
-        throttles: Orders to limit tasks.
-        evict: Whether throttling is not enough, so that one job must go.
+        throttles: New limits of tasks.
+        evict: Whether to evict a job, as throttling is not sufficient.
     """
 
     throttles: list[Throttle] = dataclasses.field(default_factory=list)
@@ -74,17 +75,17 @@
 
 
 class ThrottlingPolicy(typing.Protocol):
-    """Decides what is limited where services are slowed."""
+    """Decides which jobs to limit on workers with slowed services."""
 
     def decide(self, view: WorkerView) -> Verdict:
-        """Return what is to be done on a worker.
+        """Return what to do on a worker.
 
         Args:
-            view: The worker.
+            view: Current state of the worker.
         """
 
     def forget(self, worker: str) -> None:
-        """Forget a worker that is gone.
+        """Discard the state of a worker that was removed.
 
         Args:
             worker: Name of the worker.
--- a/wisteriawood/policies/throttling/never.py
+++ b/wisteriawood/policies/throttling/never.py
@@ -1,30 +1,32 @@
-"""No throttling: a job that slows services is evicted."""
+"""No throttling: jobs that slow services are evicted."""
 
 from wisteriawood.policies.throttling import base
 
-PATIENCE_S = 5.0
+EVICT_AFTER_S = 5.0
 
 
 @base.THROTTLING.register("never")
 class Never:
-    """Asks for an eviction wherever a service is slowed for long."""
+    """Evicts a job once a service was slowed for EVICT_AFTER_S."""
 
-    __slots__ = ("_since_s",)
+    __slots__ = ("_slowed_since_s",)
 
     def __init__(self):
-        self._since_s: dict[str, float] = {}
+        self._slowed_since_s: dict[str, float] = {}
 
     def decide(self, view: base.WorkerView) -> base.Verdict:
-        """Return an eviction once a service was slowed for a while."""
+        """Return whether to evict a job."""
         if view.excess <= 1.0 or not view.culprits:
-            self._since_s.pop(view.worker, None)
+            self._slowed_since_s.pop(view.worker, None)
             return base.Verdict()
-        since_s = self._since_s.setdefault(view.worker, view.now_s)
-        if view.now_s - since_s < PATIENCE_S:
+        slowed_since_s = self._slowed_since_s.setdefault(
+            view.worker, view.now_s
+        )
+        if view.now_s - slowed_since_s < EVICT_AFTER_S:
             return base.Verdict()
-        del self._since_s[view.worker]
+        del self._slowed_since_s[view.worker]
         return base.Verdict(evict=True)
 
     def forget(self, worker: str) -> None:
-        """Forget a worker that is gone."""
-        self._since_s.pop(worker, None)
+        """Discard the state of a worker that was removed."""
+        self._slowed_since_s.pop(worker, None)
--- a/wisteriawood/policies/throttling/step_down.py
+++ b/wisteriawood/policies/throttling/step_down.py
@@ -1,131 +1,162 @@
-"""Throttling in steps, with hysteresis, and eviction as the last step."""
+"""Throttling in steps with hysteresis, and eviction as the last resort."""
 
 import dataclasses
 import math
 
 from wisteriawood.policies.throttling import base
 
-# Time in which an order shows in the usage reports, which lag.
-SETTLE_S = 6.0
-STEP = 0.5
+# Time after which usage reports, which lag, reflect a throttle.
+REPORT_LAG_S = 6.0
+# Factor by which one step reduces the share of a job.
+STEP_FACTOR = 0.5
 LEAST_SHARE = 0.125
-# Below this excess the services count as calm.
-CALM_EXCESS = 0.98
-FIRST_CALM_S = 15.0
-MAX_CALM_S = 240.0
-# Slowed this long after a release, the release came too early.
+# Excess below which the services have recovered.
+RECOVERED_EXCESS = 0.98
+# Bounds of the time without slowdown that must pass before a release.
+MIN_HOLD_S = 15.0
+MAX_HOLD_S = 240.0
+# A slowdown within this time after a release doubles the time before the next
+# one.
 RELAPSE_S = 60.0
-# Slowed this long with all throttled, a job is evicted.
+# A job is evicted if services stay slowed for this long and no job that slows
+# them can be throttled further.
 EVICT_AFTER_S = 15.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class State:
-    """What is remembered of a worker.
+class WorkerState:
+    """State of a worker.
 
     Attributes:
-        acted_s: Monotonic time of the newest order.
-        slow_s: Monotonic time since which services are slowed; 0 if not.
-        calm_s: Monotonic time since which they are calm; 0 if not.
-        worst: Greatest excess while calm.
-        released_s: Monotonic time of the newest release.
-        hold_s: Seconds of calm that a release takes.
+        acted_at_s: Monotonic time of the newest command in seconds.
+        slowed_since_s: Monotonic time in seconds since which services are
+            slowed; 0 if they are not.
+        recovered_since_s: Monotonic time in seconds since which they have
+            recovered; 0 if they have not.
+        max_excess: Highest excess since they recovered or since the last
+            release was considered.
+        released_at_s: Monotonic time of the newest release in seconds.
+        hold_s: Seconds without slowdown that must pass before a release.
     """
 
-    acted_s: float = -1e9
-    slow_s: float = 0.0
-    calm_s: float = 0.0
-    worst: float = 0.0
-    released_s: float = -1e9
-    hold_s: float = FIRST_CALM_S
+    acted_at_s: float = -1e9
+    slowed_since_s: float = 0.0
+    recovered_since_s: float = 0.0
+    max_excess: float = 0.0
+    released_at_s: float = -1e9
+    hold_s: float = MIN_HOLD_S
 
 
 @base.THROTTLING.register("step-down")
 class StepDown:
-    """Halves the share of the job with the most harm, then waits.
+    """Halves the shares of the most harmful jobs, then waits for reports.
 
-    Shares come back one step at a time after a calm that gets longer
-    each time a release was followed by a new slowdown.
+    Shares are released one step at a time, each after a period without
+    slowdown. The period doubles whenever a slowdown follows a release.
     """
 
     __slots__ = ("_states",)
 
     def __init__(self):
-        self._states: dict[str, State] = {}
+        self._states: dict[str, WorkerState] = {}
 
     def forget(self, worker: str) -> None:
-        """Forget a worker that is gone."""
+        """Discard the state of a worker that was removed."""
         self._states.pop(worker, None)
 
     def decide(self, view: base.WorkerView) -> base.Verdict:
-        """Return the next step on a worker, if it is time for one."""
-        state = self._states.setdefault(view.worker, State())
+        """Return the next step on a worker, if one is due."""
+        state = self._states.setdefault(view.worker, WorkerState())
         now_s = view.now_s
         if view.excess > 1.0:
-            state.slow_s = state.slow_s or now_s
-            state.calm_s = 0.0
-        elif view.excess < CALM_EXCESS:
-            state.slow_s = 0.0
-            if not state.calm_s:
-                state.calm_s = now_s
-                state.worst = 0.0
-        state.worst = max(state.worst, view.excess)
-        if now_s - state.acted_s < SETTLE_S:
+            state.slowed_since_s = state.slowed_since_s or now_s
+            state.recovered_since_s = 0.0
+        elif view.excess < RECOVERED_EXCESS:
+            state.slowed_since_s = 0.0
+            if not state.recovered_since_s:
+                state.recovered_since_s = now_s
+                state.max_excess = 0.0
+        state.max_excess = max(state.max_excess, view.excess)
+        if now_s - state.acted_at_s < REPORT_LAG_S:
             return base.Verdict()
-        if state.slow_s and view.excess > 1.0:
-            return self._tighten(state, view)
-        if state.calm_s and now_s - state.calm_s >= state.hold_s:
+        if state.slowed_since_s and view.excess > 1.0:
+            return self._throttle(state, view)
+        if (
+            state.recovered_since_s
+            and now_s - state.recovered_since_s >= state.hold_s
+        ):
             return self._release(state, view)
         return base.Verdict()
 
-    def _tighten(self, state: State, view: base.WorkerView) -> base.Verdict:
-        if view.now_s - state.released_s < RELAPSE_S:
-            state.hold_s = min(2 * state.hold_s, MAX_CALM_S)
-            state.released_s = -1e9
-        worth = [
+    def _throttle(
+        self, state: WorkerState, view: base.WorkerView
+    ) -> base.Verdict:
+        if view.now_s - state.released_at_s < RELAPSE_S:
+            state.hold_s = min(2 * state.hold_s, MAX_HOLD_S)
+            state.released_at_s = -1e9
+        harmful = [
             culprit
             for culprit in view.culprits
             if culprit.present_harm() >= base.LEAST_HARM
         ]
-        left = [culprit for culprit in worth if culprit.share > LEAST_SHARE]
-        if left:
-            state.acted_s = view.now_s
-            return base.Verdict(throttles=_steps(left, view.excess))
-        if worth and view.now_s - state.slow_s >= EVICT_AFTER_S:
-            state.acted_s = view.now_s
+        reducible = [
+            culprit for culprit in harmful if culprit.share > LEAST_SHARE
+        ]
+        if reducible:
+            state.acted_at_s = view.now_s
+            return base.Verdict(
+                throttles=_next_throttles(reducible, view.excess)
+            )
+        if harmful and view.now_s - state.slowed_since_s >= EVICT_AFTER_S:
+            state.acted_at_s = view.now_s
             return base.Verdict(evict=True)
-        # What slows the services is none of the batch jobs here.
+        # None of the batch jobs here causes the slowdown.
         return base.Verdict()
 
-    def _release(self, state: State, view: base.WorkerView) -> base.Verdict:
-        throttled = [found for found in view.culprits if found.share < 1.0]
+    def _release(
+        self, state: WorkerState, view: base.WorkerView
+    ) -> base.Verdict:
+        throttled = [
+            culprit for culprit in view.culprits if culprit.share < 1.0
+        ]
         if not throttled:
-            state.hold_s = max(FIRST_CALM_S, state.hold_s / 2)
-            state.calm_s = view.now_s
+            state.hold_s = max(MIN_HOLD_S, state.hold_s / 2)
+            state.recovered_since_s = view.now_s
             return base.Verdict()
-        least = min(throttled, key=base.Culprit.present_harm)
-        share = min(1.0, least.share / STEP)
-        added = least.harm * (share - least.share)
-        if math.log(max(state.worst, 0.01)) + added > 0:
-            # The services would be slowed again; wait as long once more.
-            state.calm_s = view.now_s
-            state.worst = 0.0
+        least_harmful = min(throttled, key=base.Culprit.present_harm)
+        share = min(1.0, least_harmful.share / STEP_FACTOR)
+        added = least_harmful.harm * (share - least_harmful.share)
+        if math.log(max(state.max_excess, 0.01)) + added > 0:
+            # The release would slow the services again; wait for another
+            # period.
+            state.recovered_since_s = view.now_s
+            state.max_excess = 0.0
             return base.Verdict()
-        state.acted_s = state.released_s = view.now_s
-        state.calm_s = state.worst = 0.0
+        state.acted_at_s = state.released_at_s = view.now_s
+        state.recovered_since_s = state.max_excess = 0.0
         return base.Verdict(
-            throttles=[base.Throttle(task=least.task, share=share)]
+            throttles=[base.Throttle(task=least_harmful.task, share=share)]
         )
 
 
-def _steps(left: list[base.Culprit], excess: float) -> list[base.Throttle]:
-    """Return one step for each of the worst jobs, as many as it takes."""
-    wanted = math.log(excess)
+def _next_throttles(
+    reducible: list[base.Culprit], excess: float
+) -> list[base.Throttle]:
+    """Return one step for each of the most harmful jobs.
+
+    Args:
+        reducible: Jobs whose shares can be reduced.
+        excess: Excess of the worker; as many jobs are throttled as are
+            predicted to reduce it to 1.
+    """
+    remaining = math.log(excess)
     steps = []
-    for culprit in sorted(left, key=base.Culprit.present_harm, reverse=True):
-        if steps and wanted <= 0:
+    for culprit in sorted(
+        reducible, key=base.Culprit.present_harm, reverse=True
+    ):
+        if steps and remaining <= 0:
             break
-        share = max(LEAST_SHARE, culprit.share * STEP)
-        wanted -= culprit.harm * (culprit.share - share)
+        share = max(LEAST_SHARE, culprit.share * STEP_FACTOR)
+        remaining -= culprit.harm * (culprit.share - share)
         steps.append(base.Throttle(task=culprit.task, share=share))
     return steps
--- a/wisteriawood/tests/retrying_tests.py
+++ b/wisteriawood/tests/retrying_tests.py
@@ -100,7 +100,7 @@
                     refused += 1
             self.assertEqual(100, refused)
             attempts = sum(target.link.refusals for target in targets)
-            self.assertEqual(100 + budgeted.MOST_RETRIES_SAVED, attempts)
+            self.assertEqual(100 + budgeted.MAX_SAVED_RETRIES, attempts)
 
         builders.run_virtual(_check)
 
