--- a/wisteriawood/contracts/__init__.py
+++ b/wisteriawood/contracts/__init__.py
@@ -1,1 +1,1 @@
-"""Contracts: terms, holdings, tasks, grants and requests."""
+"""Data types and rules that all daemons share, and the keys of their rows."""
--- a/wisteriawood/contracts/configurations.py
+++ b/wisteriawood/contracts/configurations.py
@@ -1,4 +1,4 @@
-"""Rows of the configuration in the table."""
+"""Rows in which the configuration is stored."""
 
 import dataclasses
 import typing
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class ConfigHead:
-    """The row on which each change of the configuration is conditional.
+    """The row that every change of the configuration is conditional on.
 
     Attributes:
         version: Newest version; 0 before the first change.
@@ -23,10 +23,10 @@
     """The row of one change.
 
     Attributes:
-        version: Version that it leads to, from the one before.
+        version: Version that results from the change to the previous one.
         patch: Merge patch (RFC 7396) of the document.
-        author: Who applied it.
-        note: Why, in the operator's words.
+        author: Operator who applied it.
+        note: Reason given by the operator.
         applied_unix_s: Wall time of the change in seconds.
     """
 
@@ -39,11 +39,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class ConfigSnapshot:
-    """A whole version, so that a reader need not read every change.
+    """A complete version, so that readers need not apply every change.
 
     Attributes:
         version: Version number.
-        document: The whole configuration of this version.
+        document: Complete configuration of this version.
     """
 
     version: int
--- a/wisteriawood/contracts/drains.py
+++ b/wisteriawood/contracts/drains.py
@@ -1,4 +1,4 @@
-"""Operators' orders to drain a host."""
+"""Operators' requests to drain a host."""
 
 import dataclasses
 import enum
@@ -13,13 +13,13 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class DrainOrder:
-    """The row of an order; the host stays drained while it exists.
+    """The row of a request; the host stays drained while it exists.
 
     Attributes:
         kind: Kind of the host.
         name: Name of the host.
-        author: Who ordered it.
-        ordered_unix_s: Wall time of the order in seconds.
+        author: Operator who requested it.
+        ordered_unix_s: Wall time of the request in seconds.
     """
 
     kind: DrainKind
--- a/wisteriawood/contracts/grants.py
+++ b/wisteriawood/contracts/grants.py
@@ -5,7 +5,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class SlotGrant:
-    """Slots of one target that an entry host may fill.
+    """Slots of one target that an entry host may use.
 
     Attributes:
         target: Id of the target.
@@ -15,7 +15,7 @@
         slots: Number of slots granted.
         rack: Rack of the target.
         epoch: Epoch of the grantor's rack holding.
-        leaving: Whether the target takes no new requests.
+        leaving: Whether the target accepts no new requests.
     """
 
     target: str
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class SlotHolding:
-    """What an entry host says of its share of one target.
+    """The slots of one target that an entry host reports to hold.
 
     Attributes:
         target: Id of the target.
-        slots: Slots that it holds.
-        in_flight: Requests of its own that may be at the target.
+        slots: Number of slots that the entry host holds.
+        in_flight: Requests of the entry host that may be at the target.
         rack: Rack of the target.
-        epoch: Epoch of the grant that it holds.
+        epoch: Epoch of the grant.
     """
 
     target: str
@@ -49,10 +49,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class RackClaim:
-    """A rack holding, as told between a grantor and an entry host.
+    """A rack holding, as grantors and entry hosts exchange it.
 
     A grantor claims the slots of a rack's targets with it. An entry host
-    answers with the newest epoch that it knows.
+    replies with the newest epoch that it has received.
 
     Attributes:
         rack: Name of the rack.
--- a/wisteriawood/contracts/holdings.py
+++ b/wisteriawood/contracts/holdings.py
@@ -1,4 +1,4 @@
-"""Rows by which schedulers hold racks."""
+"""Rows of daemons and of the racks that schedulers hold."""
 
 import dataclasses
 import enum
@@ -15,7 +15,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a daemon does."""
+    """Role of a daemon."""
 
     ENTRY = "entry"
     SCHEDULER = "scheduler"
@@ -23,27 +23,29 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class MemberRow:
-    """A daemon's row in the table, renewed while it lives.
+    """A daemon's row in the table, renewed while the daemon runs.
 
     Attributes:
-        name: Name of the entry host.
-        role: What the daemon does.
-        zone: Its availability zone.
-        region: Its region.
-        incarnation: Random id of this start of the process.
-        peer_address: Address at which peers dial it, as host:port.
-        operator_address: Where it serves operators, as host:port.
+        name: Name of the daemon.
+        role: Role of the daemon.
+        zone: Availability zone of the daemon.
+        region: Region of the daemon.
+        incarnation: Random id of the process, new with each start.
+        peer_address: Address to which peers connect, as host:port.
+        operator_address: Address of the operators' API, as host:port.
         state: Whether it accepts work.
-        renewals: Count of renewals, so that each one changes the row.
-        renewed_unix_s: Wall time of the renewal, for operators to read.
-        config_version: Version of the configuration in force there.
-        followers: Versions in force at peers that are cut off from the
+        renewals: Number of renewals, so that each one changes the row.
+        renewed_unix_s: Wall time of the newest renewal in seconds, for
+            operators only.
+        config_version: Version of the configuration that it uses.
+        followers: Configuration versions of peers that can't reach the
             platform, by role/name.
-        longest_s: No request of its own runs longer at a target, in
-            seconds; 0 if that is not known.
-        former_incarnation: The start before, if it listened at the same
-            address; it is surely dead.
-        former_longest_s: What the start before announced last.
+        longest_s: Upper bound of the time for which a request of this
+            daemon runs at a target, in seconds; 0 if unknown.
+        former_incarnation: Incarnation of the previous process, if it
+            listened at the same address and has therefore ended.
+        former_longest_s: longest_s that the previous process published
+            last, in seconds.
     """
 
     name: str
@@ -63,10 +65,12 @@
     former_longest_s: float = 0.0
 
     def replaces(self, older: "MemberRow") -> bool:
-        """Tell whether an older process is dead, as its port is another's.
+        """Return whether an older process is known to have ended.
+
+        It has if this process, another incarnation, listens at its address.
 
         Args:
-            older: Row of a process that was listening before.
+            older: Row of the older process.
         """
         return (
             self.peer_address == older.peer_address
@@ -83,9 +87,9 @@
         rack: Name of the rack.
         holder: Name of the scheduler's member row; empty if released.
         incarnation: Incarnation of the holder.
-        epoch: Grows by one with each change of holder.
-        lease_left_s: Once released: seconds after which the longest lease
-            that the holder has granted on it will have lapsed.
+        epoch: Fencing number, incremented with each change of holder.
+        lease_left_s: Set on release: seconds from then until the longest
+            lease that the holder granted on the rack has expired.
     """
 
     zone: str
--- a/wisteriawood/contracts/keys.py
+++ b/wisteriawood/contracts/keys.py
@@ -14,12 +14,12 @@
 
 
 def members(role: str = "") -> str:
-    """Return the prefix of the member rows of a role, or of all."""
+    """Return the prefix of the member rows of a role, or of all roles."""
     return f"member/{role}/" if role else "member/"
 
 
 def rack(zone: str, name: str) -> str:
-    """Return the key of the row that says who holds a rack."""
+    """Return the key of the row that names the holder of a rack."""
     return f"{RACK}{zone}/{name}"
 
 
@@ -29,32 +29,32 @@
 
 
 def pointer(task: str) -> str:
-    """Return the key of the row that says where a task's row is."""
+    """Return the key of the row that points to a task's row."""
     return f"task/{task}"
 
 
 def pending(zone: str, task: str) -> str:
-    """Return the key of a task that waits for a worker."""
+    """Return the key of the row of a task that waits for a worker."""
     return f"{PENDING}{zone}/{task}"
 
 
 def pendings(zone: str) -> str:
-    """Return the prefix of the tasks that wait in a zone."""
+    """Return the prefix of the rows of tasks that wait in a zone."""
     return f"{PENDING}{zone}/"
 
 
 def placed(zone: str, rack_name: str, task: str) -> str:
-    """Return the key of a task that has a worker."""
+    """Return the key of the row of a task that has a worker."""
     return f"{PLACED}{zone}/{rack_name}/{task}"
 
 
 def placeds(zone: str, rack_name: str) -> str:
-    """Return the prefix of the tasks that have a worker of a rack."""
+    """Return the prefix of the rows of tasks on workers of a rack."""
     return f"{PLACED}{zone}/{rack_name}/"
 
 
 def ended(task: str) -> str:
-    """Return the key of a task that has ended."""
+    """Return the key of the row of a task that has ended."""
     return f"ended/{task}"
 
 
@@ -64,7 +64,7 @@
 
 
 def cancels(zone: str) -> str:
-    """Return the prefix of the requests to cancel in a zone."""
+    """Return the prefix of the requests to cancel tasks in a zone."""
     return f"cancel/{zone}/"
 
 
@@ -79,20 +79,20 @@
 
 
 def config_version(version: int) -> str:
-    """Return the key of the change that made a version."""
+    """Return the key of the change that resulted in a version."""
     return f"{CONFIG_VERSIONS}{version:012d}"
 
 
 def config_snapshot(version: int) -> str:
-    """Return the key of a whole version of the configuration."""
+    """Return the key of the snapshot of a configuration version."""
     return f"config/snapshot/{version:012d}"
 
 
 def drain(kind: str, name: str) -> str:
-    """Return the key of an operator's order to drain a host."""
+    """Return the key of an operator's request to drain a host."""
     return f"{DRAIN}{kind}/{name}"
 
 
 def drains(kind: str) -> str:
-    """Return the prefix of the orders to drain hosts of a kind."""
+    """Return the prefix of the requests to drain hosts of a kind."""
     return f"{DRAIN}{kind}/"
--- a/wisteriawood/contracts/quotas.py
+++ b/wisteriawood/contracts/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of teams, and what a team weighs most."""
+"""Quotas of teams, and the weights of their objectives."""
 
 import dataclasses
 
@@ -7,15 +7,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Quota:
-    """What a team may use, and how it weighs harm.
+    """The resources that a team may use and the weights of its objectives.
 
     Attributes:
         team: Name of the team.
         weight: Share of the resources, relative to the other teams.
-        limit: Most that its tasks may use in one zone; None for no limit.
-        tail_latency_weight: Weight of a slowed service or watcher.
-        throughput_weight: Weight of a slowed batch job.
-        eviction_weight: Weight of an eviction.
+        limit: Maximum that its tasks may use in one zone; None for no limit.
+        tail_latency_weight: Weight of the slowdown of a service or watcher.
+        throughput_weight: Weight of the slowdown of a batch job.
+        eviction_weight: Weight of the cost of an eviction.
         not_evicted: Task classes of batch jobs that are not evicted.
         not_throttled: Task classes of batch jobs that are not throttled.
     """
@@ -31,7 +31,7 @@
 
 
 class Quotas:
-    """The quotas of all teams; a team without one gets the default.
+    """The quotas of all teams; teams without one have the default.
 
     Args:
         quotas: Quotas by name of the team.
@@ -54,7 +54,7 @@
         return quota
 
     def replace(self, quotas: dict[str, Quota]) -> None:
-        """Take over other quotas, as a new configuration has them.
+        """Replace all quotas with those of a new configuration.
 
         Args:
             quotas: Quotas by name of the team.
--- a/wisteriawood/contracts/requests.py
+++ b/wisteriawood/contracts/requests.py
@@ -1,10 +1,10 @@
-"""Requests of callers and their answers."""
+"""Requests of callers and their responses."""
 
 import dataclasses
 import enum
 import math
 
-# Callers may not ask for more time than this.
+# Upper bound of the deadlines that callers may set.
 LONGEST_REQUEST_S = 60.0
 
 
@@ -16,7 +16,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What is known of a request's run."""
+    """Whether a target ran a request, as far as known."""
 
     RAN = "ran"
     NOT_RUN = "not-run"
@@ -25,24 +25,26 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Request:
-    """A caller's request while it is in this process.
+    """A caller's request while this process handles it.
 
     Attributes:
-        id: Unique id, echoed to the caller.
+        id: Unique id, returned to the caller.
         team: Team whose service is called.
         service: Name of the service.
-        caller: Team that calls, for its share; empty for the owner.
-        share: Name of the share that it is counted in; set on admission.
+        caller: Calling team, which determines the share; empty for the owner.
+        share: Name of the share that the request is charged to; set on
+            admission.
         method: HTTP method.
         path: Path and query below the service.
-        headers: Header fields that are passed on.
-        body: Whole body.
+        headers: Header fields to forward.
+        body: Complete body.
         request_class: Whether it may be sent more than once.
         key: Idempotency key of a run-once request.
-        urgent: Whether it goes before the others.
-        deadline_s: Monotonic time by which the caller needs the answer.
-        send_by_s: Monotonic time after which it must not leave for the
-            target: the slot is another's by then.
+        urgent: Whether it takes precedence over requests that are not.
+        deadline_s: Monotonic time in seconds by which the caller needs the
+            response.
+        send_by_s: Monotonic time in seconds after which it must not be sent
+            to the target, as the slot may belong to another entry host.
         traceparent: W3C trace context of the newest hop.
     """
 
@@ -65,16 +67,16 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Answer:
-    """A whole answer to a request.
+    """A complete response to a request.
 
     Attributes:
         request_id: Id of the request that it answers.
         status: HTTP status.
-        headers: Header fields of the target.
-        body: Whole body.
-        outcome: What is known of the run.
-        target: Target that answered; empty if none did.
-        reason: Why there is no answer of a target, for the caller.
+        headers: Header fields from the target.
+        body: Complete body.
+        outcome: Whether a target ran the request, as far as known.
+        target: Target that responded; empty if none did.
+        reason: Why no target responded, for the caller.
         retry_after_s: Seconds after which a retry may succeed.
     """
 
--- a/wisteriawood/contracts/resources.py
+++ b/wisteriawood/contracts/resources.py
@@ -1,4 +1,4 @@
-"""Amounts of processors, memory and accelerators."""
+"""Amounts of CPU, memory and accelerators."""
 
 import dataclasses
 
@@ -8,9 +8,9 @@
     """Amounts that a task needs or a worker offers.
 
     Attributes:
-        cores: Processor cores; fractions are allowed.
+        cores: CPU cores; fractions are allowed.
         memory_bytes: Memory in bytes.
-        accelerators: Whole accelerators.
+        accelerators: Number of accelerators.
     """
 
     cores: float = 0.0
@@ -32,7 +32,12 @@
         )
 
     def fits(self, free: "Resources") -> bool:
-        """Tell whether this amount fits into what is free."""
+        """Return whether this amount fits into the free one.
+
+        Args:
+            free: Free resources; cores are compared with a tolerance of
+                1e-9.
+        """
         return (
             self.cores <= free.cores + 1e-9
             and self.memory_bytes <= free.memory_bytes
--- a/wisteriawood/contracts/runonce.py
+++ b/wisteriawood/contracts/runonce.py
@@ -14,14 +14,15 @@
         key: Idempotency key of the caller.
         request_id: Request that claimed the key.
         owner: Incarnation of the entry host that claimed it.
-        digest: Digest of what the key was first used for.
-        status: HTTP status of the stored answer; 0 while unknown.
-        headers: Header fields of the stored answer.
-        body: Body of the stored answer, if small.
+        digest: Digest of the first request with this key.
+        status: HTTP status of the stored response; 0 while unknown.
+        headers: Header fields of the stored response.
+        body: Body of the stored response, if small.
         body_object: Object key of the stored body, if large.
-        body_bytes: Length of the stored body.
-        until_unix_s: Wall time in seconds at which its deadline passes.
-        expires_unix_s: Wall time in seconds after which it may go.
+        body_bytes: Length of the stored body in bytes.
+        until_unix_s: Wall time in seconds of the request's deadline.
+        expires_unix_s: Wall time in seconds after which the record may be
+            deleted.
     """
 
     key: str
@@ -38,7 +39,7 @@
 
 
 def digest(request: requests.Request) -> str:
-    """Return the digest of what a request asks for.
+    """Return the digest of the service, method, path and body.
 
     Args:
         request: The request.
--- a/wisteriawood/contracts/tasks.py
+++ b/wisteriawood/contracts/tasks.py
@@ -15,7 +15,7 @@
 
 
 class TaskState(enum.StrEnum):
-    """States of a task; its attempt number tells runs apart."""
+    """States of a task; its attempt number distinguishes runs."""
 
     PENDING = "pending"
     ASSIGNED = "assigned"
@@ -41,21 +41,21 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class TaskSpec:
-    """What an operator asks for.
+    """Specification of a task by an operator.
 
     Attributes:
         id: Unique id of the task.
         team: Team that owns the task.
-        kind: Service instance, batch job or standing watcher.
+        kind: Service instance, batch job or watcher.
         needs: Declared resources.
         run_s: Declared run time in seconds; 0 for services and watchers.
         urgent: Whether it may evict others to start at once.
-        priority: Higher goes first within its team.
-        task_class: Class under which interference is learned.
+        priority: Precedence among the tasks of its team, highest first.
+        task_class: Class for the estimates of interference and size.
         service: Name of the service that a service instance serves.
-        slots: Requests that a service instance serves at once.
+        slots: Requests that a service instance serves concurrently.
         labels: Labels for selection.
-        arguments: Arguments handed to the worker untouched.
+        arguments: Arguments passed to the worker unchanged.
     """
 
     id: str
@@ -77,21 +77,21 @@
     """The stored state of a task.
 
     Attributes:
-        spec: What was asked for.
-        zone: Availability zone whose schedulers look after it.
+        spec: Specification of the task.
+        zone: Availability zone whose schedulers are responsible for it.
         state: State of the newest attempt.
         attempt: Number of the newest attempt; 0 before the first.
         rack: Rack of the newest attempt.
         worker: Worker of the newest attempt.
-        worker_address: Its address, as host:port, so that a new holder
-            finds it though the host list lacks it.
+        worker_address: Address of the worker, as host:port, so that a new
+            holder finds it even if it is not in the host list.
         epoch: Epoch of the rack holding under which it was assigned.
         checkpoint: Object key of the newest checkpoint, if any.
-        cancel_requested: Whether an operator asked to stop it.
+        cancel_requested: Whether an operator requested its cancellation.
         submitted_unix_s: Wall time of submission in seconds.
         started_unix_s: Wall time of the newest start in seconds.
         ended_unix_s: Wall time of the end in seconds.
-        reason: Why it waits or how it ended, for the operator.
+        reason: Why it waits or how it ended, for operators.
         failures: Workers on which attempts failed, oldest first.
     """
 
@@ -114,7 +114,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class TaskPointer:
-    """Row that says where a task's own row is.
+    """The row that points to a task's row.
 
     Attributes:
         key: Key of the task's row.
--- a/wisteriawood/contracts/terms.py
+++ b/wisteriawood/contracts/terms.py
@@ -1,62 +1,82 @@
-"""Terms: spans of a monotonic clock during which authority holds."""
+"""Terms, and the durations that the daemons agree on.
+
+The term is the time-limited authority of a daemon, renewed through its
+member row and measured on its own monotonic clock. A lease is the right of a
+worker to continue an attempt.
+"""
 
 PLACEMENT_TERM_S = 6.0
 SLOT_TERM_S = 10.0
 LEASE_S = 15.0
+# Upper bound of the time for which leases and slots outlive the authority of
+# the scheduler that granted them.
 HORIZON_S = 900.0
+# Allowance for clocks that run at different rates.
 DRIFT_MARGIN_S = 0.5
-# Longest time for which a command to a worker may be under way.
+# Longest time for which a command to a worker may be in transit.
 COMMAND_LIFE_S = 4.0
 
 
 class Term:
-    """A span of time that a confirmed renewal starts anew.
+    """A period of validity that each confirmed renewal restarts.
 
-    The span counts from before the renewal was sent, so that it ends
-    here no later than the confirming side believes.
+    The period starts just before the renewal is sent, so that it ends here
+    no later than the confirming side assumes.
 
     Args:
-        duration_s: Length of the span in seconds.
+        duration_s: Length of the period in seconds.
     """
 
-    __slots__ = ("_broken_at_s", "_confirmed_at_s", "duration_s")
+    __slots__ = ("_unbroken_since_s", "_confirmed_at_s", "duration_s")
 
     def __init__(self, *, duration_s: float):
         self.duration_s = duration_s
         self._confirmed_at_s: float | None = None
-        self._broken_at_s: float | None = None
+        self._unbroken_since_s: float | None = None
 
     def confirm(self, *, sent_at_s: float, confirmed_at_s: float) -> None:
-        """Record that a renewal sent at a time was confirmed.
+        """Record a confirmed renewal.
 
         Args:
             sent_at_s: Monotonic time just before the renewal was sent.
             confirmed_at_s: Monotonic time at which it was confirmed.
         """
         ended_at_s = self.ends_at_s()
-        # Between the end and a late confirmation, a successor may have
-        # claimed, though the renewal had left in time.
+        # A successor may have claimed between the end of the term and a
+        # late confirmation, even if the renewal was sent in time.
         if ended_at_s is None or confirmed_at_s >= ended_at_s:
-            self._broken_at_s = confirmed_at_s
+            self._unbroken_since_s = confirmed_at_s
         if self._confirmed_at_s is None or sent_at_s > self._confirmed_at_s:
             self._confirmed_at_s = sent_at_s
 
     def ends_at_s(self) -> float | None:
-        """Return the monotonic time at which the term ends, if begun."""
+        """Return the monotonic time in seconds at which the term ends.
+
+        Returns:
+            None if there is no term.
+        """
         if self._confirmed_at_s is None:
             return None
         return self._confirmed_at_s + self.duration_s
 
     def is_held(self, *, now_s: float) -> bool:
-        """Tell whether the term holds at a monotonic time in seconds."""
+        """Return whether the term is valid.
+
+        Args:
+            now_s: Monotonic time in seconds.
+        """
         ends_at_s = self.ends_at_s()
         return ends_at_s is not None and now_s < ends_at_s
 
     def unbroken_since_s(self) -> float | None:
-        """Return the time since which the term never lapsed."""
-        return self._broken_at_s
+        """Return the monotonic time since which the term has not lapsed.
+
+        Returns:
+            Seconds; None if there is no term.
+        """
+        return self._unbroken_since_s
 
     def end(self) -> None:
-        """Give the term up."""
+        """End the term now."""
         self._confirmed_at_s = None
-        self._broken_at_s = None
+        self._unbroken_since_s = None
--- a/wisteriawood/tests/admission_tests.py
+++ b/wisteriawood/tests/admission_tests.py
@@ -1,4 +1,4 @@
-"""Tests of who is refused when more comes than can be done."""
+"""Tests of the admission of jobs under overload."""
 
 import unittest
 
@@ -29,9 +29,9 @@
 
 
 class PolicyTests(unittest.TestCase):
-    """A burst of fillers, and standing jobs that fill a cell."""
+    """Decisions of the in-time policy for fillers and standing jobs."""
 
-    def test_fillers_that_would_be_late_are_refused_at_once(self):
+    def test_fillers_that_would_be_late_are_refused(self):
         policy = in_time.InTime()
         view = base.CellView(
             capacity_millicores=64000,
@@ -45,7 +45,7 @@
         self.assertGreater(refusal.retry_after_s, 4)
         self.assertLess(refusal.retry_after_s, 8)
 
-    def test_standing_jobs_leave_room_for_jobs_that_end(self):
+    def test_standing_jobs_leave_capacity_for_jobs_that_end(self):
         policy = in_time.InTime()
         spec = _spec(is_standing=True)
         view = base.CellView(capacity_millicores=64000)
@@ -57,8 +57,12 @@
 
 
 class BacklogTests(unittest.TestCase):
-    def test_jobs_that_are_worth_nothing_any_more_refuse_nobody(self):
-        """Seen in incident inc-afd0: refused while workers stood idle."""
+    def test_expired_jobs_do_not_count_towards_the_backlog(self):
+        """Expired jobs counted towards the backlog of their cell.
+
+        New jobs were then refused although workers were idle (incident
+        inc-afd0).
+        """
 
         async def _main():
             cell = builders.make_cell()
@@ -80,52 +84,52 @@
 
 
 class RefusalTests(unittest.TestCase):
-    """A refusal must be true, whatever came before it."""
+    """A refused job does not run, and a stored job is not refused."""
 
-    def _fill(self, world):
-        class _Never:
+    def _refusing_intake(self, world):
+        class _RefuseAll:
             def check(self, spec, view):
                 return base.Refusal(reason="full", retry_after_s=1.0)
 
         intake = world.intake()
-        intake._policy = _Never()
+        intake._policy = _RefuseAll()
         return intake
 
-    def test_a_refused_job_is_not_stored_by_an_earlier_hand_in(self):
+    def test_refused_job_is_not_stored_by_an_earlier_submission(self):
         async def _check(world):
             await anyio.sleep(2)
             world.store.lost_answers = 1
             world.store.lost_table = tables.JOBS
             world.store.late_s = 3.0
             async with anyio.create_task_group() as group:
-                group.start_soon(self._hand_in_unanswered, world)
+                group.start_soon(self._submit_unanswered, world)
                 await anyio.sleep(0.5)
                 with self.assertRaises(builders.NotRunError):
-                    await self._fill(world).submit(_spec(), 3.0)
+                    await self._refusing_intake(world).submit(_spec(), 3.0)
             await anyio.sleep(5)
             self.assertEqual(world.starts(), {})
 
         builders.run_job_world(_check)
 
-    async def _hand_in_unanswered(self, world):
+    async def _submit_unanswered(self, world):
         with self.assertRaises(builders.UnknownError):
             with anyio.fail_after(0.4):
                 await world.intake().submit(_spec(), 0.4)
 
-    def test_a_stored_job_is_not_refused_when_it_comes_again(self):
+    def test_stored_job_is_not_refused_when_submitted_again(self):
         async def _check(world):
             await anyio.sleep(2)
             await world.intake().submit(_spec(), 3.0)
-            await self._fill(world).submit(_spec(), 3.0)
+            await self._refusing_intake(world).submit(_spec(), 3.0)
             await world.wait_for(JOB, jobs.JobState.COMPLETED)
 
         builders.run_job_world(_check)
 
-    def test_a_refused_job_may_come_back(self):
+    def test_refused_job_is_accepted_when_submitted_later(self):
         async def _check(world):
             await anyio.sleep(2)
             with self.assertRaises(builders.NotRunError):
-                await self._fill(world).submit(_spec(), 3.0)
+                await self._refusing_intake(world).submit(_spec(), 3.0)
             with self.assertRaises(builders.NotFoundError):
                 await world.intake().state(JOB)
             await world.intake().submit(_spec(), 3.0)
--- a/wisteriawood/tests/retrying_tests.py
+++ b/wisteriawood/tests/retrying_tests.py
@@ -1,4 +1,4 @@
-"""Retries: only where safe, and within the budget."""
+"""Tests that requests are retried only if safe and within the budget."""
 
 import unittest
 
@@ -18,12 +18,12 @@
             builders.make_target(id="bad"),
             builders.make_target(id="good"),
         ]
-        # Requests go to the bad one first, until it is taken out.
+        # Requests go to the bad target first, until it is ejected.
         targets[1].in_flight = 1
         service = builders.make_service(targets=targets, **fields)
         return targets, service, builders.make_dispatcher(service)
 
-    def test_refused_request_is_run_elsewhere_whatever_its_class(self):
+    def test_refused_request_of_any_class_runs_at_another_target(self):
         async def _check():
             (bad, good), _service, dispatcher = self._make_pair()
             bad.link.refuses = True
@@ -51,14 +51,14 @@
 
         builders.run_virtual(_check)
 
-    def test_repeatable_request_is_rescued_from_a_target_that_stalls(self):
+    def test_repeatable_request_is_retried_when_its_target_stalls(self):
         async def _check():
             (bad, _good), service, dispatcher = self._make_pair()
             bad.link.is_frozen = True
             for _ in range(64):
                 service.times.observe(0.01)
             async with anyio.create_task_group() as group:
-                group.start_soon(self._tend, service)
+                group.start_soon(self._run_ticks, service)
                 started_s = anyio.current_time()
                 answer = await dispatcher.dispatch(builders.make_request())
                 self.assertEqual("good", answer.target)
@@ -67,12 +67,12 @@
 
         builders.run_virtual(_check)
 
-    async def _tend(self, service):
+    async def _run_ticks(self, service):
         while True:
             await anyio.sleep(0.1)
             service.tend()
 
-    def test_not_run_is_never_said_after_an_attempt_of_unknown_end(self):
+    def test_outcome_is_unknown_after_an_attempt_of_unknown_outcome(self):
         async def _check():
             (bad, good), service, dispatcher = self._make_pair()
             bad.link.is_frozen = True
@@ -80,14 +80,14 @@
             for _ in range(64):
                 service.times.observe(0.01)
             async with anyio.create_task_group() as group:
-                group.start_soon(self._tend, service)
+                group.start_soon(self._run_ticks, service)
                 with self.assertRaises(errors.RequestUnknownError):
                     await dispatcher.dispatch(builders.make_request())
                 group.cancel_scope.cancel()
 
         builders.run_virtual(_check)
 
-    def test_budget_runs_dry_when_all_refuse(self):
+    def test_budget_is_exhausted_if_all_targets_refuse(self):
         async def _check():
             targets, _service, dispatcher = self._make_pair()
             for target in targets:
@@ -120,14 +120,14 @@
 
         builders.run_virtual(_check)
 
-    def test_pauses_have_full_jitter_and_attempts_an_end(self):
+    def test_pauses_have_full_jitter_and_attempts_are_limited(self):
         policy = budgeted.Budgeted(rng=builders.make_rng())
         pauses_s = [policy.spend(failures=1) for _ in range(10)]
         self.assertEqual(10, len(set(pauses_s)))
         self.assertLessEqual(max(pauses_s), budgeted.BASE_PAUSE_S)
         self.assertIsNone(policy.spend(failures=budgeted.MAX_ATTEMPTS))
 
-    def test_without_retries_a_refusal_is_told(self):
+    def test_refusal_is_reported_if_there_are_no_retries(self):
         async def _check():
             rng = builders.make_rng()
             (bad, _good), _service, dispatcher = self._make_pair(
@@ -139,7 +139,7 @@
 
         builders.run_virtual(_check)
 
-    def test_target_that_fails_fast_does_not_draw_all_requests(self):
+    def test_target_that_fails_fast_does_not_attract_most_requests(self):
         async def _check():
             (bad, good), _service, dispatcher = self._make_pair()
             bad.link.status = 500
@@ -150,7 +150,7 @@
 
         builders.run_virtual(_check)
 
-    def test_short_deadline_is_no_fault_of_the_target(self):
+    def test_short_deadlines_do_not_eject_a_target(self):
         async def _check():
             (bad, good), service, dispatcher = self._make_pair()
             for _ in range(64):
