--- a/wisteriawood/machines/announcements.py
+++ b/wisteriawood/machines/announcements.py
@@ -9,20 +9,31 @@
 from wisteriawood.zones import membership
 
 # Values that are announced, so that few changes reach the table.
-STEPS_S = (1.0, 2.0, 5.0, 10.0, 20.0, 30.0, requests.LONGEST_REQUEST_S)
-RAISE_WAIT_S = 1.0
+ANNOUNCED_STEPS_S = (
+    1.0,
+    2.0,
+    5.0,
+    10.0,
+    20.0,
+    30.0,
+    requests.LONGEST_REQUEST_S,
+)
+ANNOUNCE_TIMEOUT_S = 1.0
 # Time that a request may spend between its start here and the target,
 # besides the time that it announces.
 SEND_MARGIN_S = 3.0
 
 
-def step_s(left_s: float) -> float:
+def round_up_s(left_s: float) -> float:
     """Return the announced value that covers a time.
 
     Args:
         left_s: Time in seconds.
     """
-    return next((step for step in STEPS_S if step >= left_s), STEPS_S[-1])
+    return next(
+        (step for step in ANNOUNCED_STEPS_S if step >= left_s),
+        ANNOUNCED_STEPS_S[-1],
+    )
 
 
 class Announcement:
@@ -37,20 +48,20 @@
         get_usual_s: Returns the time in seconds that requests usually have.
     """
 
-    __slots__ = ("_get_usual_s", "_members", "_until_s")
+    __slots__ = ("_get_longest_deadline_s", "_members", "_required_until_s")
 
     def __init__(
         self,
         *,
         members: membership.Membership,
-        get_usual_s: typing.Callable[[], float],
+        get_longest_deadline_s: typing.Callable[[], float],
     ):
         self._members = members
-        self._get_usual_s = get_usual_s
-        self._until_s: dict[float, float] = {}
+        self._get_longest_deadline_s = get_longest_deadline_s
+        self._required_until_s: dict[float, float] = {}
         members.own.longest_s = requests.LONGEST_REQUEST_S
 
-    def usable_s(self) -> float:
+    def max_request_s(self) -> float:
         """Return how long a request may take, in seconds."""
         return min(self._members.own.longest_s, self._members.announced_s)
 
@@ -64,38 +75,40 @@
             left_s: Seconds until the request's deadline.
         """
         left_s = min(left_s, requests.LONGEST_REQUEST_S)
-        if left_s > self.usable_s():
-            self._need(left_s)
+        if left_s > self.max_request_s():
+            self._require(left_s)
             self.review()
             if self._members.is_reachable:
                 await self._wait(left_s)
-        allowed_s = min(left_s, self.usable_s())
-        self._need(allowed_s)
+        allowed_s = min(left_s, self.max_request_s())
+        self._require(allowed_s)
         return allowed_s
 
     async def _wait(self, left_s: float) -> None:
-        with anyio.move_on_after(min(RAISE_WAIT_S, left_s / 2)):
-            while self.usable_s() < left_s:
+        with anyio.move_on_after(min(ANNOUNCE_TIMEOUT_S, left_s / 2)):
+            while self.max_request_s() < left_s:
                 await self._members.renewed.wait()
 
-    def _need(self, left_s: float) -> None:
+    def _require(self, left_s: float) -> None:
         # It may leave as late as its deadline, and take as long again.
         until_s = anyio.current_time() + 2 * left_s + SEND_MARGIN_S
-        step = step_s(left_s)
-        self._until_s[step] = max(self._until_s.get(step, 0.0), until_s)
+        step = round_up_s(left_s)
+        self._required_until_s[step] = max(
+            self._required_until_s.get(step, 0.0), until_s
+        )
 
-    def see_overrun(self) -> None:
+    def record_overrun(self) -> None:
         """Note that a target works on a request beyond its deadline."""
-        self._until_s[requests.LONGEST_REQUEST_S] = max(
-            self._until_s.get(requests.LONGEST_REQUEST_S, 0.0),
+        self._required_until_s[requests.LONGEST_REQUEST_S] = max(
+            self._required_until_s.get(requests.LONGEST_REQUEST_S, 0.0),
             anyio.current_time() + terms.DRIFT_MARGIN_S,
         )
 
     def review(self) -> None:
         """Announce the time that is needed now."""
         now_s = anyio.current_time()
-        needed_s = step_s(self._get_usual_s())
-        for step, until_s in self._until_s.items():
+        needed_s = round_up_s(self._get_longest_deadline_s())
+        for step, until_s in self._required_until_s.items():
             if until_s > now_s:
                 needed_s = max(needed_s, step)
         if needed_s != self._members.own.longest_s:
--- a/wisteriawood/machines/dispatchers.py
+++ b/wisteriawood/machines/dispatchers.py
@@ -11,11 +11,11 @@
 from wisteriawood.machines import targets
 from wisteriawood.telemetry import spans
 
-TIMEOUT_FACTOR = 2.0
-WHOLE_TIMEOUT = 0.99
+FAILURE_P99_FACTOR = 2.0
+FULL_TIMEOUT_SHARE = 0.99
 
 
-class Attempts:
+class FailedAttempts:
     """Attempts of one request that have failed."""
 
     __slots__ = ("failures", "tried", "unknown")
@@ -82,7 +82,7 @@
             RequestUnknownError: A target may have run it.
         """
         service = self._find(request)
-        attempts = Attempts()
+        attempts = FailedAttempts()
         while True:
             try:
                 target = await service.acquire(request, tried=attempts.tried)
@@ -133,7 +133,7 @@
             raise
         except errors.RequestUnknownError:
             waited_s = anyio.current_time() - sent_s
-            ending.verdict = _judge_silence(service, waited_s, timeout_s)
+            ending.verdict = _timeout_verdict(service, waited_s, timeout_s)
             raise
         finally:
             service.release(target, request, ending)
@@ -169,12 +169,12 @@
     return request.request_class == requests.RequestClass.REPEATABLE
 
 
-def _judge_silence(
+def _timeout_verdict(
     service: services.Service, waited_s: float, timeout_s: float
 ) -> outliers.Verdict:
     """Tell a target's fault from a deadline too short for the request."""
-    if waited_s < WHOLE_TIMEOUT * timeout_s:
+    if waited_s < FULL_TIMEOUT_SHARE * timeout_s:
         return outliers.Verdict.FAILED
-    if waited_s > TIMEOUT_FACTOR * service.times.p99_s:
+    if waited_s > FAILURE_P99_FACTOR * service.times.p99_s:
         return outliers.Verdict.FAILED
     return outliers.Verdict.UNTOLD
--- a/wisteriawood/machines/entry_hosts.py
+++ b/wisteriawood/machines/entry_hosts.py
@@ -29,7 +29,7 @@
 from wisteriawood.zones import peering
 
 TEND_PERIOD_S = 0.25
-GOODBYE_TIMEOUT_S = 3.0
+GONE_ROW_TIMEOUT_S = 3.0
 
 _LOG = events.Logger(name=__name__)
 
@@ -53,7 +53,7 @@
         "_dispatcher",
         "_policy",
         "_run_once",
-        "_serving",
+        "_open_requests",
         "_rng",
         "configuration",
         "counters",
@@ -95,8 +95,8 @@
             dial_peer=dial_peer,
             dial_target=dial_target,
             get_service=self.service,
-            on_late_answer=self._take_late_answer,
-            get_usual_s=self._usual_deadline_s,
+            on_late_answer=self._store_late_answer,
+            get_longest_deadline_s=self._longest_deadline_s,
         )
         self.targets = self.slot_client.targets
         self._run_once = run_once.RunOnce(
@@ -109,7 +109,7 @@
             services=self.services, tracer=tracer
         )
         self._policy = policy
-        self._serving = 0
+        self._open_requests = 0
         self._rng = rng
         self.room = waiting_rooms.WaitingRoom()
 
@@ -154,7 +154,7 @@
             group.start_soon(self.configuration.run)
             group.start_soon(self.drains.run)
             group.start_soon(self.slot_client.run)
-            group.start_soon(self._tend_services)
+            group.start_soon(self._tick_services)
             group.start_soon(self._follow_quotas)
             group.start_soon(self._run_once.run)
             await self.stopping.wait()
@@ -163,7 +163,7 @@
             await self._run_once.settle()
             group.cancel_scope.cancel()
         if is_released:
-            await self._say_gone()
+            await self._publish_gone()
         self.stopped.set()
 
     async def _follow_quotas(self) -> None:
@@ -185,10 +185,10 @@
 
     async def _finish_requests(self) -> None:
         with anyio.move_on_after(slot_clients.RELEASE_TIMEOUT_S):
-            while self._serving:
+            while self._open_requests:
                 await anyio.sleep(TEND_PERIOD_S)
 
-    async def _tend_services(self) -> None:
+    async def _tick_services(self) -> None:
         while True:
             await anyio.sleep(TEND_PERIOD_S)
             for service in self.services.values():
@@ -201,26 +201,26 @@
         self.counters.in_flight.set(sum(t.in_flight for t in held))
         self.counters.slots_held.set(sum(t.grant.slots for t in held))
 
-    async def _say_gone(self) -> None:
+    async def _publish_gone(self) -> None:
         """Tell the table that all slots have been returned."""
         self.membership.own.state = holdings.HostState.GONE
-        with anyio.move_on_after(GOODBYE_TIMEOUT_S):
+        with anyio.move_on_after(GONE_ROW_TIMEOUT_S):
             try:
                 await self.membership.renew()
             except errors.PlatformError as exc:
                 _LOG.log(events.PLATFORM_LOST, reason=str(exc))
 
-    def _usual_deadline_s(self) -> float:
+    def _longest_deadline_s(self) -> float:
         """Return the longest deadline that the configuration gives."""
         if self.configuration.not_ready():
             return requests.LONGEST_REQUEST_S
         return self.configuration.current.longest_deadline_s()
 
-    def _take_late_answer(
+    def _store_late_answer(
         self, request: requests.Request, answer: requests.Answer
     ) -> None:
         """Take an answer whose caller has left."""
-        self._run_once.take_late_answer(request, answer)
+        self._run_once.store_late_answer(request, answer)
 
     def service(self, team: str, name: str) -> services.Service:
         """Return a service of a team, made at the first call."""
@@ -276,11 +276,11 @@
         return answer
 
     async def _run(self, request: requests.Request) -> requests.Answer:
-        self._serving += 1
+        self._open_requests += 1
         try:
             return await self._run_by_class(request)
         finally:
-            self._serving -= 1
+            self._open_requests -= 1
 
     async def _run_by_class(
         self, request: requests.Request
--- a/wisteriawood/machines/held_racks.py
+++ b/wisteriawood/machines/held_racks.py
@@ -18,8 +18,8 @@
     __slots__ = (
         "epoch",
         "grantor",
-        "is_kept",
-        "keep_until_s",
+        "is_retained",
+        "retained_until_s",
         "name",
         "renewed_s",
         "usable_until_s",
@@ -29,12 +29,12 @@
         self.name = name
         self.epoch = 0
         self.grantor: holdings.MemberRow | None = None
-        self.is_kept = False
-        self.keep_until_s = -math.inf
+        self.is_retained = False
+        self.retained_until_s = -math.inf
         self.renewed_s = -math.inf
         self.usable_until_s = -math.inf
 
-    def is_of(self, grantor: holdings.MemberRow) -> bool:
+    def is_granted_by(self, grantor: holdings.MemberRow) -> bool:
         """Tell whether a process of a scheduler grants its slots.
 
         Args:
@@ -56,29 +56,29 @@
             sent_s: Monotonic time just before the report was sent.
             horizon_s: Seconds for which slots may be kept.
         """
-        self.is_kept = False
+        self.is_retained = False
         self.renewed_s = anyio.current_time()
-        self.keep_until_s = sent_s + min(horizon_s, terms.HORIZON_S)
+        self.retained_until_s = sent_s + min(horizon_s, terms.HORIZON_S)
         self.usable_until_s = min(
-            sent_s + terms.SLOT_TERM_S, self.keep_until_s
+            sent_s + terms.SLOT_TERM_S, self.retained_until_s
         )
 
-    def limit(self, *, until_s: float) -> None:
+    def shorten(self, *, until_s: float) -> None:
         """Let the span end sooner.
 
         Args:
             until_s: Monotonic time at which it ends at the latest.
         """
-        self.is_kept = False
+        self.is_retained = False
         self.renewed_s = anyio.current_time()
         self.usable_until_s = min(self.usable_until_s, until_s)
 
-    def keep(self) -> None:
+    def retain(self) -> None:
         """Keep the slots to the horizon for a successor to count.
 
         Only where the grantor surely takes nothing back; a span that has
         ended stays so.
         """
         if self.is_usable(now_s=anyio.current_time()):
-            self.is_kept = True
-            self.usable_until_s = self.keep_until_s
+            self.is_retained = True
+            self.usable_until_s = self.retained_until_s
--- a/wisteriawood/machines/outliers.py
+++ b/wisteriawood/machines/outliers.py
@@ -9,12 +9,12 @@
 from wisteriawood.machines import targets
 from wisteriawood.telemetry import events
 
-FAILURES_TO_TAKE_OUT = 3
-BASE_OUT_S = 1.0
-MAX_OUT_S = 30.0
-MAX_OUT_SHARE = 0.5
-MIN_STALL_S = 0.5
-STALL_FACTOR = 4.0
+FAILURES_TO_EJECT = 3
+BASE_EJECTION_S = 1.0
+MAX_EJECTION_S = 30.0
+MAX_EJECTED_SHARE = 0.5
+MIN_STALL_TIMEOUT_S = 0.5
+STALL_P99_FACTOR = 4.0
 
 _LOG = events.Logger(name=__name__)
 
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Record:
+class TargetRecord:
     """What is known of one target.
 
     Attributes:
@@ -44,10 +44,10 @@
     heard_s: float = 0.0
     times_out: int = 0
     out_until_s: float = 0.0
-    is_probed: bool = False
+    is_probe_in_flight: bool = False
 
 
-def stall_s(*, p99_s: float) -> float:
+def stall_timeout_s(*, p99_s: float) -> float:
     """Return the silence after which a target counts as stalled.
 
     Args:
@@ -59,7 +59,7 @@
     """
     if not p99_s:
         return math.inf
-    return max(MIN_STALL_S, STALL_FACTOR * p99_s)
+    return max(MIN_STALL_TIMEOUT_S, STALL_P99_FACTOR * p99_s)
 
 
 class OutlierWatch:
@@ -76,25 +76,25 @@
 
     def __init__(self, *, rng: random.Random):
         self._rng = rng
-        self._records: dict[str, Record] = {}
-        self._out: dict[str, Record] = {}
+        self._records: dict[str, TargetRecord] = {}
+        self._out: dict[str, TargetRecord] = {}
 
-    def out(self, *, targets_count: int) -> typing.Mapping[str, Record]:
+    def out(self, *, targets_count: int) -> typing.Mapping[str, TargetRecord]:
         """Return the targets that get no requests but probes, by id.
 
         Args:
             targets_count: Number of targets of the service.
         """
-        if len(self._out) > MAX_OUT_SHARE * targets_count:
+        if len(self._out) > MAX_EJECTED_SHARE * targets_count:
             return {}
         return self._out
 
     def is_probe_due(self, target_id: str, *, now_s: float) -> bool:
         """Tell whether a target that is out may get one request."""
         record = self._out[target_id]
-        return not record.is_probed and now_s >= record.out_until_s
+        return not record.is_probe_in_flight and now_s >= record.out_until_s
 
-    def sent(self, target: targets.Target, *, now_s: float) -> bool:
+    def record_sent(self, target: targets.Target, *, now_s: float) -> bool:
         """Record that a request is being sent.
 
         Args:
@@ -104,15 +104,15 @@
         Returns:
             Whether the request is a probe.
         """
-        record = self._records.setdefault(target.id, Record())
+        record = self._records.setdefault(target.id, TargetRecord())
         if target.in_flight <= 1:
             record.heard_s = now_s
         if target.id not in self._out:
             return False
-        record.is_probed = True
+        record.is_probe_in_flight = True
         return True
 
-    def ended(
+    def record_ended(
         self, target: targets.Target, *, verdict: Verdict, now_s: float
     ) -> None:
         """Record how an attempt ended.
@@ -122,16 +122,19 @@
             verdict: What the end says about the target.
             now_s: Monotonic time.
         """
-        record = self._records.setdefault(target.id, Record())
-        was_probed, record.is_probed = record.is_probed, False
+        record = self._records.setdefault(target.id, TargetRecord())
+        was_probe_in_flight, record.is_probe_in_flight = (
+            record.is_probe_in_flight,
+            False,
+        )
         if verdict is Verdict.GOOD:
             self._bring_in(target.id, record, now_s=now_s)
         if verdict is Verdict.FAILED:
             record.failures += 1
-            is_out = target.id in self._out
-            if is_out and was_probed:
+            is_ejected = target.id in self._out
+            if is_ejected and was_probe_in_flight:
                 self._take_out(target.id, record, now_s=now_s)
-            if not is_out and record.failures >= FAILURES_TO_TAKE_OUT:
+            if not is_ejected and record.failures >= FAILURES_TO_EJECT:
                 self._take_out(target.id, record, now_s=now_s)
 
     def take_out_stalled(
@@ -158,7 +161,7 @@
                 continue
             if target.id in self._out:
                 continue
-            if now_s - record.heard_s > stall_s(p99_s=p99_s):
+            if now_s - record.heard_s > stall_timeout_s(p99_s=p99_s):
                 self._take_out(target.id, record, now_s=now_s)
                 stalled.append(target.id)
         return stalled
@@ -168,22 +171,22 @@
         self._records.pop(target_id, None)
         self._out.pop(target_id, None)
 
-    def known(self) -> list[str]:
+    def known_ids(self) -> list[str]:
         """Return the ids of the targets seen."""
         return list(self._records)
 
     def _take_out(
-        self, target_id: str, record: Record, *, now_s: float
+        self, target_id: str, record: TargetRecord, *, now_s: float
     ) -> None:
-        out_s = min(MAX_OUT_S, BASE_OUT_S * 2**record.times_out)
+        ejection_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**record.times_out)
         record.times_out += 1
-        record.out_until_s = now_s + out_s * self._rng.uniform(0.5, 1.0)
+        record.out_until_s = now_s + ejection_s * self._rng.uniform(0.5, 1.0)
         if target_id not in self._out:
             _LOG.log(events.TARGET_TAKEN_OUT, target=target_id)
         self._out[target_id] = record
 
     def _bring_in(
-        self, target_id: str, record: Record, *, now_s: float
+        self, target_id: str, record: TargetRecord, *, now_s: float
     ) -> None:
         record.failures = 0
         record.times_out = 0
--- a/wisteriawood/machines/run_once.py
+++ b/wisteriawood/machines/run_once.py
@@ -21,10 +21,10 @@
 RETENTION_S = 24 * 3600.0
 CLAIM_TIMEOUT_S = 2.0
 STORE_TIMEOUT_S = 1.0
-SETTLE_TIMEOUT_S = 10.0
+SHUTDOWN_STORE_TIMEOUT_S = 10.0
 RETRY_AFTER_S = 2.0
 RETRY_PERIOD_S = 0.5
-REPEAT_PERIOD_S = 0.5
+REPEAT_POLL_PERIOD_S = 0.5
 REPEAT_MARGIN_S = 0.1
 SWEEP_PERIOD_S = 30.0
 SWEEP_ROWS = 100
@@ -71,9 +71,9 @@
         "_commits",
         "_group",
         "_members",
-        "_open",
+        "_unanswered",
         "_platform",
-        "_storing",
+        "_pending_writes",
         "_wall_clock",
     )
 
@@ -89,8 +89,8 @@
         self._wall_clock = wall_clock
         self._commits = commits.GroupCommit(platform=platform)
         self._group: abc.TaskGroup | None = None
-        self._open: dict[str, Claim] = {}
-        self._storing = 0
+        self._unanswered: dict[str, Claim] = {}
+        self._pending_writes = 0
 
     async def run(self) -> None:
         """Commit claims and answers, and remove expired ones, for ever."""
@@ -101,8 +101,8 @@
 
     async def settle(self) -> None:
         """Wait a while until the answers that are known are stored."""
-        with anyio.move_on_after(SETTLE_TIMEOUT_S):
-            while self._storing:
+        with anyio.move_on_after(SHUTDOWN_STORE_TIMEOUT_S):
+            while self._pending_writes:
                 await anyio.sleep(REPEAT_MARGIN_S)
 
     async def serve(
@@ -131,7 +131,9 @@
                 if found.expires_unix_s < self._wall_clock():
                     claim = await self._claim(request, condition=row.version)
                     continue
-                answer = await self._repeat(request, claim.record, found)
+                answer = await self._repeated_answer(
+                    request, claim.record, found
+                )
                 if answer is not None:
                     return answer
             if claim.version:
@@ -142,7 +144,7 @@
     ) -> Claim:
         """Insert the record of a request before it is sent."""
         if not self._members.is_reachable:
-            raise _not_checked()
+            raise _key_not_checked()
         now_unix_s = self._wall_clock()
         left_s = request.deadline_s - anyio.current_time()
         record = runonce.RunOnceRecord(
@@ -163,7 +165,7 @@
         finally:
             claim.is_left = not claim.done.is_set()
         if claim.is_left or claim.error is not None:
-            raise _not_checked()
+            raise _key_not_checked()
         return claim
 
     async def _insert(self, claim: Claim, condition: int) -> None:
@@ -178,7 +180,7 @@
         claim.done.set()
         if claim.is_left and claim.version:
             # The caller was told that it did not run; free the key.
-            await self._forget(claim)
+            await self._delete_record(claim)
 
     async def _write(
         self, claim: Claim, condition: int, value: typing.Any
@@ -199,7 +201,7 @@
                 status=503,
             ) from exc
 
-    async def _repeat(
+    async def _repeated_answer(
         self,
         request: requests.Request,
         own: runonce.RunOnceRecord,
@@ -213,19 +215,19 @@
                 status=422,
             )
         if found.status:
-            return await self._stored(request, found)
+            return await self._stored_answer(request, found)
         left_s = request.deadline_s - anyio.current_time()
         is_running = found.until_unix_s > self._wall_clock()
-        if not is_running or left_s <= REPEAT_PERIOD_S + REPEAT_MARGIN_S:
+        if not is_running or left_s <= REPEAT_POLL_PERIOD_S + REPEAT_MARGIN_S:
             raise errors.RequestUnknownError(
                 reason="a request of this key was sent, and its end is not "
                 "known",
                 status=409,
             )
-        await anyio.sleep(REPEAT_PERIOD_S)
+        await anyio.sleep(REPEAT_POLL_PERIOD_S)
         return None
 
-    async def _stored(
+    async def _stored_answer(
         self, request: requests.Request, found: runonce.RunOnceRecord
     ) -> requests.Answer:
         body: bytes | None = found.body
@@ -250,34 +252,34 @@
     async def _run(
         self, request: requests.Request, claim: Claim, dispatch: Dispatch
     ) -> requests.Answer:
-        self._open[request.id] = claim
+        self._unanswered[request.id] = claim
         try:
             answer = await dispatch(request)
         except errors.RequestNotRunError:
-            del self._open[request.id]
-            await self._start(self._forget, claim)
+            del self._unanswered[request.id]
+            await self._run_write(self._delete_record, claim)
             raise
-        self._open.pop(request.id, None)
-        await self._start(self._store, claim, answer)
+        self._unanswered.pop(request.id, None)
+        await self._run_write(self._store, claim, answer)
         return answer
 
-    async def _start(self, function: typing.Callable, *args) -> None:
+    async def _run_write(self, function: typing.Callable, *args) -> None:
         """Run a write to its end, but wait only a while for it."""
         done = anyio.Event()
 
         async def _finish() -> None:
-            self._storing += 1
+            self._pending_writes += 1
             try:
                 await function(*args)
             finally:
-                self._storing -= 1
+                self._pending_writes -= 1
             done.set()
 
         self._group.start_soon(_finish)
         with anyio.move_on_after(STORE_TIMEOUT_S):
             await done.wait()
 
-    def take_late_answer(
+    def store_late_answer(
         self, request: requests.Request, answer: requests.Answer
     ) -> None:
         """Store an answer whose caller has left.
@@ -286,11 +288,11 @@
             request: The request.
             answer: The target's answer to it.
         """
-        claim = self._open.pop(request.id, None)
+        claim = self._unanswered.pop(request.id, None)
         if claim is not None:
-            self._group.start_soon(self._start, self._store, claim, answer)
+            self._group.start_soon(self._run_write, self._store, claim, answer)
 
-    async def _forget(self, claim: Claim) -> None:
+    async def _delete_record(self, claim: Claim) -> None:
         await self._write_until_done(claim, lambda: None)
 
     async def _store(self, claim: Claim, answer: requests.Answer) -> None:
@@ -346,11 +348,11 @@
                 claim = Claim(
                     row_key=row.key, record=record, version=row.version
                 )
-                await self._forget(claim)
+                await self._delete_record(claim)
         return page[-1].key if len(page) == SWEEP_ROWS else ""
 
 
-def _not_checked() -> errors.RequestNotRunError:
+def _key_not_checked() -> errors.RequestNotRunError:
     return errors.RequestNotRunError(
         reason="the platform's table can't be reached, so the key can't be "
         "checked; this attempt was not run",
--- a/wisteriawood/machines/service_times.py
+++ b/wisteriawood/machines/service_times.py
@@ -3,8 +3,8 @@
 import collections
 import math
 
-WINDOW = 512
-REFRESH = 16
+WINDOW_SIZE = 512
+REFRESH_INTERVAL = 16
 MIN_OBSERVED = 32
 
 
@@ -29,10 +29,10 @@
         """Learn how long one answer took, in seconds."""
         self._window.append(latency_s)
         self._sum_s += latency_s
-        if len(self._window) > WINDOW:
+        if len(self._window) > WINDOW_SIZE:
             self._sum_s -= self._window.popleft()
         self._count += 1
-        if self.is_known() and self._count % REFRESH == 0:
+        if self.is_known() and self._count % REFRESH_INTERVAL == 0:
             self._refresh()
 
     def is_known(self) -> bool:
--- a/wisteriawood/machines/services.py
+++ b/wisteriawood/machines/services.py
@@ -21,7 +21,7 @@
 from wisteriawood.telemetry import events
 
 SHED_LOG_PERIOD_S = 1.0
-MIN_TIMEOUT_S = 0.001
+MIN_ATTEMPT_TIMEOUT_S = 0.001
 
 _LOG = events.Logger(name=__name__)
 
@@ -59,8 +59,8 @@
     __slots__ = (
         "_queue",
         "_room",
-        "_rescuable",
-        "_shed",
+        "_cancel_scopes",
+        "_shed_count",
         "_shed_logged_s",
         "name",
         "outliers",
@@ -92,10 +92,10 @@
             retrying_base.DEFAULT
         )(rng=rng)
         self.outliers = outliers.OutlierWatch(rng=rng)
-        self._rescuable: dict[str, set[anyio.CancelScope]] = {}
+        self._cancel_scopes: dict[str, set[anyio.CancelScope]] = {}
         self._room = room or waiting_rooms.WaitingRoom()
         self._queue = self._room.open_queue(team=team)
-        self._shed = 0
+        self._shed_count = 0
         self._shed_logged_s = -math.inf
 
     @property
@@ -141,7 +141,7 @@
         left_s = max(0.0, request.deadline_s - anyio.current_time())
         try:
             with anyio.move_on_after(left_s):
-                await waiter.settled.wait()
+                await waiter.resolved.wait()
         except anyio.get_cancelled_exc_class():
             self._withdraw(waiter)
             raise
@@ -171,7 +171,7 @@
         if not math.isnan(ending.latency_s):
             self.times.observe(ending.latency_s)
             self.policy.observe(target, latency_s=ending.latency_s)
-        self.outliers.ended(
+        self.outliers.record_ended(
             target, verdict=ending.verdict, now_s=anyio.current_time()
         )
         self.wake()
@@ -180,7 +180,7 @@
         """Hand free slots to the waiters that are next, one each."""
         while self._queue:
             waiter = self._queue.head(slots=self.slots())
-            if self._is_hopeless(waiter.request):
+            if self._is_too_late(waiter.request):
                 self._queue.remove(waiter)
                 waiter.refuse(self._refusal("its turn came too late"))
                 continue
@@ -190,24 +190,29 @@
             if target is None:
                 return
             self._queue.remove(waiter)
-            waiter.give(self._take(waiter.request, target))
+            waiter.assign(self._take(waiter.request, target))
 
     def tend(self) -> None:
         """Do what is due by time alone; called several times a second."""
         now_s = anyio.current_time()
         self.policy.tend()
-        for target_id in self.outliers.known():
+        for target_id in self.outliers.known_ids():
             if target_id not in self.targets:
                 self.outliers.forget(target_id)
-                self._rescuable.pop(target_id, None)
+                self._cancel_scopes.pop(target_id, None)
                 self.policy.forget(target_id)
         for target_id in self.outliers.take_out_stalled(
             self.targets.values(), p99_s=self.times.p99_s, now_s=now_s
         ):
-            self._rescue(target_id)
-        if self._shed and now_s - self._shed_logged_s > SHED_LOG_PERIOD_S:
-            _LOG.log(events.REQUESTS_SHED, service=self.name, count=self._shed)
-            self._shed = 0
+            self._cancel_attempts(target_id)
+        if (
+            self._shed_count
+            and now_s - self._shed_logged_s > SHED_LOG_PERIOD_S
+        ):
+            _LOG.log(
+                events.REQUESTS_SHED, service=self.name, count=self._shed_count
+            )
+            self._shed_count = 0
             self._shed_logged_s = now_s
         self.wake()
 
@@ -223,10 +228,12 @@
             request: The request.
         """
         now_s = anyio.current_time()
-        left_s = max(MIN_TIMEOUT_S, request.deadline_s - now_s)
-        if not self.outliers.sent(target, now_s=now_s):
+        left_s = max(MIN_ATTEMPT_TIMEOUT_S, request.deadline_s - now_s)
+        if not self.outliers.record_sent(target, now_s=now_s):
             return left_s
-        return min(left_s / 2, outliers.stall_s(p99_s=self.times.p99_s))
+        return min(
+            left_s / 2, outliers.stall_timeout_s(p99_s=self.times.p99_s)
+        )
 
     @contextlib.contextmanager
     def watch(
@@ -245,18 +252,18 @@
         if request.request_class != requests.RequestClass.REPEATABLE:
             yield
             return
-        scopes = self._rescuable.setdefault(target.id, set())
+        scopes = self._cancel_scopes.setdefault(target.id, set())
         scopes.add(scope)
         try:
             yield
         finally:
             scopes.discard(scope)
 
-    def _rescue(self, target_id: str) -> None:
+    def _cancel_attempts(self, target_id: str) -> None:
         """Let the requests at a stalled target be retried elsewhere."""
         if not self.outliers.out(targets_count=len(self.targets)):
             return
-        scopes = list(self._rescuable.get(target_id, ()))
+        scopes = list(self._cancel_scopes.get(target_id, ()))
         for scope in scopes[: self.retrying.available()]:
             scope.cancel()
 
@@ -286,7 +293,7 @@
     def _choose(
         self, request: requests.Request, tried: frozenset[str], *, queued: int
     ) -> targets.Target | None:
-        if not self._room.may_take(self.team):
+        if not self._room.is_below_limit(self.team):
             return None
         free = []
         busy = []
@@ -317,14 +324,14 @@
         """Let a request wait, if its turn is likely to come in time."""
         wait_s = self._expected_wait_s(waiter.request)
         left_s = waiter.request.deadline_s - anyio.current_time()
-        excess_s = wait_s + self._reserve_s(left_s) - left_s
+        excess_s = wait_s + self._expected_service_s(left_s) - left_s
         if excess_s > 0:
             raise self._refusal(
                 "too many wait to serve it before its deadline",
                 retry_after_s=excess_s,
             )
         self._queue.add(waiter)
-        for given_up in self._room.take_overflow():
+        for given_up in self._room.remove_overflow():
             given_up.refuse(
                 self._refusal("the queue is full", retry_after_s=wait_s)
             )
@@ -337,7 +344,7 @@
         ahead = self._queue.ahead(request)
         return (ahead + 1) * self.times.mean_s() / slots
 
-    def _reserve_s(self, left_s: float) -> float:
+    def _expected_service_s(self, left_s: float) -> float:
         """Return the time that a request needs at the target, in seconds.
 
         Args:
@@ -345,7 +352,7 @@
         """
         return min(self.times.p99_s, max(self.times.median_s, left_s / 2))
 
-    def _is_hopeless(self, request: requests.Request) -> bool:
+    def _is_too_late(self, request: requests.Request) -> bool:
         left_s = request.deadline_s - anyio.current_time()
         return left_s < self.times.median_s
 
@@ -360,7 +367,7 @@
     def _refusal(
         self, reason: str, *, retry_after_s: float = 1.0
     ) -> errors.RequestNotRunError:
-        self._shed += 1
+        self._shed_count += 1
         return errors.RequestNotRunError(
             reason=reason, retry_after_s=max(1.0, retry_after_s)
         )
--- a/wisteriawood/machines/slot_clients.py
+++ b/wisteriawood/machines/slot_clients.py
@@ -26,7 +26,7 @@
 REDIAL_PERIOD_S = 0.5
 REVIEW_PERIOD_S = 0.25
 # How long before the end of a term the table is asked for the grantor.
-ENQUIRY_S = 3.0
+HOLDING_CHECK_LEAD_S = 3.0
 # Part of the demand that is kept from one report to the next.
 DEMAND_KEPT = 0.8
 # Above the longest deadline that a caller may ask for.
@@ -70,11 +70,11 @@
 
     __slots__ = (
         "_announcement",
-        "_dead",
+        "_dead_incarnations",
         "_dial_peer",
         "_dial_target",
-        "_enquiring",
-        "_followed",
+        "_checked_racks",
+        "_linked_schedulers",
         "_get_service",
         "_group",
         "_members",
@@ -94,7 +94,7 @@
         dial_target: typing.Callable,
         get_service: GetService,
         on_late_answer: slotted_links.OnLateAnswer,
-        get_usual_s: typing.Callable[[], float],
+        get_longest_deadline_s: typing.Callable[[], float],
     ):
         self._platform = platform
         self._members = members
@@ -103,11 +103,11 @@
         self._get_service = get_service
         self._on_late_answer = on_late_answer
         self._announcement = announcements.Announcement(
-            members=members, get_usual_s=get_usual_s
+            members=members, get_longest_deadline_s=get_longest_deadline_s
         )
-        self._dead: set[str] = set()
-        self._enquiring: set[str] = set()
-        self._followed: set[str] = set()
+        self._dead_incarnations: set[str] = set()
+        self._checked_racks: set[str] = set()
+        self._linked_schedulers: set[str] = set()
         self._group: abc.TaskGroup | None = None
         self.is_draining = False
         self.racks: dict[str, held_racks.HeldRack] = {}
@@ -121,9 +121,9 @@
             while True:
                 changed = self._members.changed
                 for name in self._schedulers():
-                    if name not in self._followed:
-                        self._followed.add(name)
-                        group.start_soon(self._follow, name)
+                    if name not in self._linked_schedulers:
+                        self._linked_schedulers.add(name)
+                        group.start_soon(self._keep_link, name)
                 await changed.wait()
 
     async def release(self) -> bool:
@@ -154,7 +154,7 @@
             and sighting.member.state != holdings.HostState.GONE
         ]
 
-    async def _follow(self, name: str) -> None:
+    async def _keep_link(self, name: str) -> None:
         """Hold the link to one scheduler, straight down."""
         while name in self._schedulers():
             key = (holdings.Role.SCHEDULER, name)
@@ -165,11 +165,11 @@
                 ) as channel:
                     await self._exchange(member, channel)
             except errors.LinkRefusedError:
-                self._dead.add(member.incarnation)
+                self._dead_incarnations.add(member.incarnation)
             except errors.LinkError as exc:
                 _LOG.log(events.PEER_LOST, peer=name, reason=str(exc))
             await anyio.sleep(REDIAL_PERIOD_S)
-        self._followed.discard(name)
+        self._linked_schedulers.discard(name)
 
     async def _exchange(
         self, member: holdings.MemberRow, channel: typing.Any
@@ -178,7 +178,7 @@
         hello = await _receive(channel)
         if hello.member.incarnation != member.incarnation:
             # It listens at the port of the process that the row names.
-            self._dead.add(member.incarnation)
+            self._dead_incarnations.add(member.incarnation)
         _LOG.log(events.PEER_CONNECTED, peer=member.name)
         session = Session(grantor=hello.member)
         sequence = 0
@@ -212,7 +212,7 @@
             rack = self.racks[answer.rack]
             if rack.epoch == answer.epoch:
                 # From here on the grantor counts this term.
-                rack.limit(until_s=now_s + terms.SLOT_TERM_S)
+                rack.shorten(until_s=now_s + terms.SLOT_TERM_S)
         session.answers = []
         for target in self.targets.values():
             if target.rack.name not in session.racks:
@@ -272,20 +272,20 @@
         for name in update.withdrawn:
             session.racks.discard(name)
             rack = self.racks.get(name)
-            if rack is not None and rack.is_of(session.grantor):
-                rack.keep()
+            if rack is not None and rack.is_granted_by(session.grantor):
+                rack.retain()
         for name in session.racks:
             rack = self.racks[name]
-            if rack.is_of(session.grantor):
+            if rack.is_granted_by(session.grantor):
                 rack.renew(sent_s=sent_s, horizon_s=update.horizon_s)
         for claim in update.claims:
             self._answer_claim(session, claim)
         for grant in update.granted:
             rack = self.racks.get(grant.rack)
-            if rack is None or not rack.is_of(session.grantor):
+            if rack is None or not rack.is_granted_by(session.grantor):
                 continue
             if rack.epoch == grant.epoch:
-                self._take_grant(rack, grant)
+                self._apply_grant(rack, grant)
 
     def _answer_claim(self, session: Session, claim: grants.RackClaim) -> None:
         rack = self.racks.get(claim.rack)
@@ -307,7 +307,7 @@
             if target.rack.name == rack:
                 session.reported.pop(target.id, None)
 
-    def _take_grant(
+    def _apply_grant(
         self, rack: held_racks.HeldRack, grant: grants.SlotGrant
     ) -> None:
         target = self.targets.get(grant.target)
@@ -351,17 +351,19 @@
             self._announcement.review()
 
     def _review_rack(self, rack: held_racks.HeldRack, now_s: float) -> None:
-        if rack.grantor is None or rack.is_kept:
+        if rack.grantor is None or rack.is_retained:
             return
-        if rack.usable_until_s - now_s > ENQUIRY_S:
+        if rack.usable_until_s - now_s > HOLDING_CHECK_LEAD_S:
             return
-        if rack.grantor.incarnation in self._dead:
-            rack.keep()
+        if rack.grantor.incarnation in self._dead_incarnations:
+            rack.retain()
         elif self._is_term_ended(rack):
-            rack.keep()
-        elif rack.name not in self._enquiring and rack.is_usable(now_s=now_s):
-            self._enquiring.add(rack.name)
-            self._group.start_soon(self._enquire, rack)
+            rack.retain()
+        elif rack.name not in self._checked_racks and rack.is_usable(
+            now_s=now_s
+        ):
+            self._checked_racks.add(rack.name)
+            self._group.start_soon(self._check_holding, rack)
 
     def _is_term_ended(self, rack: held_racks.HeldRack) -> bool:
         """Tell whether the table showed that the grantor's term ended.
@@ -383,7 +385,7 @@
             return True
         return sighting.is_lapsed(now_s=self._members.watched_at_s)
 
-    async def _enquire(self, rack: held_racks.HeldRack) -> None:
+    async def _check_holding(self, rack: held_racks.HeldRack) -> None:
         """Ask the table whether the grantor still holds the rack."""
         grantor = rack.grantor
         epoch = rack.epoch
@@ -393,13 +395,13 @@
             if row is not None:
                 found = rows.from_value(row.value, holdings.RackHolding)
                 is_same = found.incarnation == grantor.incarnation
-                is_ours = rack.epoch == epoch and rack.is_of(grantor)
+                is_ours = rack.epoch == epoch and rack.is_granted_by(grantor)
                 if is_ours and not (is_same and found.epoch == epoch):
-                    rack.keep()
+                    rack.retain()
         except errors.PlatformError:
             pass
         await anyio.sleep(REPORT_PERIOD_S)
-        self._enquiring.discard(rack.name)
+        self._checked_racks.discard(rack.name)
 
     async def _review_target(
         self, target: targets.Target, now_s: float
@@ -411,7 +413,7 @@
         if target.end_quarantines(now_s=now_s):
             service.wake()
         if target.is_overrun(now_s=now_s):
-            self._announcement.see_overrun()
+            self._announcement.record_overrun()
         if target.grant.leaving and not target.in_flight:
             del self.targets[target.id]
             service.targets.pop(target.id, None)
--- a/wisteriawood/machines/slotted_links.py
+++ b/wisteriawood/machines/slotted_links.py
@@ -97,7 +97,7 @@
         finally:
             if not call.done.is_set():
                 call.is_left = True
-                self._target.late += 1
+                self._target.late_calls += 1
         if call.answer is not None:
             return call.answer
         raise call.error or errors.RequestUnknownError(
@@ -120,7 +120,7 @@
         if not call.is_left:
             return
         is_done = not isinstance(call.error, errors.RequestUnknownError)
-        self._target.end_late(is_done=is_done)
+        self._target.record_late_end(is_done=is_done)
         if call.answer is not None:
             self._on_late_answer(call.request, call.answer)
 
--- a/wisteriawood/machines/targets.py
+++ b/wisteriawood/machines/targets.py
@@ -21,13 +21,13 @@
 
     __slots__ = (
         "_quarantined_until_s",
-        "_settled",
+        "_early_ends",
         "address",
         "grant",
         "grantor",
         "id",
         "in_flight",
-        "late",
+        "late_calls",
         "latency_s",
         "link",
         "rack",
@@ -47,10 +47,10 @@
         self.link = link
         self.in_flight = 0
         self.latency_s = 0.0
-        self.late = 0
+        self.late_calls = 0
         self.rack: held_racks.HeldRack | None = None
         self._quarantined_until_s: list[float] = []
-        self._settled = 0
+        self._early_ends = 0
 
     def usable_until_s(self) -> float:
         """Return the monotonic time until which slots may be filled."""
@@ -75,24 +75,24 @@
             until_s: Monotonic time at which the slot is free at the
                 latest: the deadline of the request.
         """
-        if is_done or self._settled:
-            self._settled -= not is_done
+        if is_done or self._early_ends:
+            self._early_ends -= not is_done
             self.in_flight -= 1
             return
         heapq.heappush(self._quarantined_until_s, until_s)
 
-    def end_late(self, *, is_done: bool) -> None:
+    def record_late_end(self, *, is_done: bool) -> None:
         """Record the end of a call whose caller had left.
 
         Args:
             is_done: Whether the target answered or refused it; else the
                 slot stays taken until the deadline.
         """
-        self.late -= 1
+        self.late_calls -= 1
         if not is_done:
             return
         if not self._quarantined_until_s:
-            self._settled += 1
+            self._early_ends += 1
             return
         heapq.heappop(self._quarantined_until_s)
         self.in_flight -= 1
@@ -109,7 +109,7 @@
             The number of slots freed.
         """
         freed = 0
-        while len(self._quarantined_until_s) > self.late:
+        while len(self._quarantined_until_s) > self.late_calls:
             if self._quarantined_until_s[0] > now_s:
                 break
             heapq.heappop(self._quarantined_until_s)
@@ -124,7 +124,7 @@
             now_s: Monotonic time in seconds.
         """
         ends_s = self._quarantined_until_s
-        return bool(self.late and ends_s and ends_s[0] <= now_s)
+        return bool(self.late_calls and ends_s and ends_s[0] <= now_s)
 
     def holding(self) -> grants.SlotHolding:
         """Return what this entry host says of its share."""
--- a/wisteriawood/machines/waiting_rooms.py
+++ b/wisteriawood/machines/waiting_rooms.py
@@ -12,10 +12,10 @@
 from wisteriawood import errors
 from wisteriawood.machines import targets
 
-DEFAULT_PLACES = 1000
-DEFAULT_PLACES_BYTES = 16 * 1024 * 1024
+DEFAULT_MAX_WAITING = 1000
+DEFAULT_MAX_WAITING_BYTES = 16 * 1024 * 1024
 DEFAULT_WEIGHT = 1.0
-OTHERS = "*"
+OTHER_TEAMS = "*"
 
 _SEQUENCE = itertools.count()
 
@@ -37,21 +37,21 @@
     tried: frozenset[str] = frozenset()
     target: targets.Target | None = None
     refusal: errors.RequestNotRunError | None = None
-    settled: anyio.Event = dataclasses.field(default_factory=anyio.Event)
+    resolved: anyio.Event = dataclasses.field(default_factory=anyio.Event)
     sequence: int = dataclasses.field(default_factory=_SEQUENCE.__next__)
 
-    def give(self, target: targets.Target) -> None:
+    def assign(self, target: targets.Target) -> None:
         """Wake the request with a slot of a target."""
         self.target = target
-        self.settled.set()
+        self.resolved.set()
 
     def refuse(self, refusal: errors.RequestNotRunError) -> None:
         """Wake the request without a slot."""
         self.refusal = refusal
-        self.settled.set()
+        self.resolved.set()
 
 
-def urgency(waiter: Waiter) -> tuple[bool, float, int]:
+def priority_key(waiter: Waiter) -> tuple[bool, float, int]:
     """Return the key that orders the waiters of one team."""
     request = waiter.request
     return (not request.urgent, request.deadline_s, waiter.sequence)
@@ -71,7 +71,7 @@
         self.name = name
         self.weight = weight
         self.in_flight = 0
-        self.waiters = sortedcontainers.SortedKeyList(key=urgency)
+        self.waiters = sortedcontainers.SortedKeyList(key=priority_key)
 
     def is_active(self) -> bool:
         """Tell whether the team uses or wants a slot."""
@@ -120,7 +120,7 @@
         if not request.share:
             # Once and for all: the weights may change while it is in flight.
             caller = request.caller or request.team
-            request.share = caller if caller in self._weights else OTHERS
+            request.share = caller if caller in self._weights else OTHER_TEAMS
         name = request.share
         found = self._shares.get(name)
         if found is None:
@@ -158,9 +158,9 @@
         Args:
             slots: Slots of the service in this entry host.
         """
-        wanting = [s for s in self._shares.values() if s.waiters]
-        if len(wanting) == 1:
-            return wanting[0].waiters[0]
+        waiting_shares = [s for s in self._shares.values() if s.waiters]
+        if len(waiting_shares) == 1:
+            return waiting_shares[0].waiters[0]
         weight = self._active_weight()
 
         def _rank(share: TeamShare) -> tuple[bool, bool, float, float]:
@@ -173,7 +173,7 @@
                 first.deadline_s,
             )
 
-        return min(wanting, key=_rank).waiters[0]
+        return min(waiting_shares, key=_rank).waiters[0]
 
     def ahead(self, request: requests.Request) -> float:
         """Return how many waiters would get a slot before a request.
@@ -190,12 +190,12 @@
         others = self.waiting - len(share.waiters)
         if not others:
             return own
-        wanting_weight = sum(
+        waiting_weight = sum(
             s.weight for s in self._shares.values() if s.waiters
         )
         if not share.waiters:
-            wanting_weight += share.weight
-        lent = (own + 1) * (wanting_weight / share.weight - 1)
+            waiting_weight += share.weight
+        lent = (own + 1) * (waiting_weight / share.weight - 1)
         return own + min(others, lent)
 
     def last(self) -> Waiter:
@@ -224,8 +224,8 @@
         "_in_flight",
         "_queues",
         "limits",
-        "places",
-        "places_bytes",
+        "max_waiting",
+        "max_waiting_bytes",
         "usage",
         "weights",
     )
@@ -233,12 +233,12 @@
     def __init__(
         self,
         *,
-        places: int = DEFAULT_PLACES,
-        places_bytes: int = DEFAULT_PLACES_BYTES,
+        max_waiting: int = DEFAULT_MAX_WAITING,
+        max_waiting_bytes: int = DEFAULT_MAX_WAITING_BYTES,
         weights: typing.Mapping[str, float] | None = None,
     ):
-        self.places = places
-        self.places_bytes = places_bytes
+        self.max_waiting = max_waiting
+        self.max_waiting_bytes = max_waiting_bytes
         self.usage = Usage()
         self.weights = dict(weights or {})
         self.limits: dict[str, int] = {}
@@ -273,7 +273,7 @@
         """Return how many requests to a team's services may be in flight."""
         return self.limits.get(team, math.inf)
 
-    def may_take(self, team: str) -> bool:
+    def is_below_limit(self, team: str) -> bool:
         """Tell whether a team is below its limit."""
         return self._in_flight.get(team, 0) < self.limit(team)
 
@@ -285,27 +285,27 @@
         """Count one request in flight less."""
         self._in_flight[team] -= 1
 
-    def take_overflow(self) -> list[Waiter]:
+    def remove_overflow(self) -> list[Waiter]:
         """Take out what is over the places, from the fullest team first.
 
         Returns:
             The waiters taken out; the caller refuses them.
         """
         overflow = []
-        while self._is_over():
-            team = max(self._queues, key=self._fullness)
+        while self._is_overfull():
+            team = max(self._queues, key=self._waiting_per_weight)
             queue = max(self._queues[team], key=len)
             waiter = queue.last()
             queue.remove(waiter)
             overflow.append(waiter)
         return overflow
 
-    def _is_over(self) -> bool:
+    def _is_overfull(self) -> bool:
         return (
-            self.usage.waiting > self.places
-            or self.usage.size_bytes > self.places_bytes
+            self.usage.waiting > self.max_waiting
+            or self.usage.size_bytes > self.max_waiting_bytes
         )
 
-    def _fullness(self, team: str) -> float:
+    def _waiting_per_weight(self, team: str) -> float:
         waiting = sum(map(len, self._queues[team]))
         return waiting / self.weights.get(team, DEFAULT_WEIGHT)
--- a/wisteriawood/tests/faults/request_proofs_tests.py
+++ b/wisteriawood/tests/faults/request_proofs_tests.py
@@ -23,7 +23,7 @@
 LONG_S = 85.0
 
 
-def _give_back(target, *, is_done, until_s):
+def _release_at_once(target, *, is_done, until_s):
     target.in_flight -= 1
 
 
@@ -37,14 +37,14 @@
 
 def _take_any_answer(_link, request, response, body):
     response.headers[target_links.REQUEST_ID_HEADER] = request.id
-    return _TO_ANSWER(_link, request, response, body)
+    return _ORIGINAL_TO_ANSWER(_link, request, response, body)
 
 
-_TO_ANSWER = target_links.HttpTarget._to_answer
+_ORIGINAL_TO_ANSWER = target_links.HttpTarget._to_answer
 
 
-def _keep_all(rack, host):
-    _SEE_TARGET(rack, _without_leaving(host))
+def _ignore_leaving(rack, host):
+    _ORIGINAL_UPDATE_TARGET(rack, _without_leaving(host))
 
 
 def _without_leaving(host):
@@ -52,7 +52,7 @@
     return host
 
 
-_SEE_TARGET = racks.Rack.see_target
+_ORIGINAL_UPDATE_TARGET = racks.Rack.see_target
 
 
 async def _wait_for_nothing(*_args):
@@ -89,7 +89,7 @@
             request_invariants.slots_kept,
             "target answers late, after the deadline",
             "sent",
-            (targets.Target, "give_back", _give_back),
+            (targets.Target, "give_back", _release_at_once),
         )
 
     def test_successor_counts_the_unanswered(self):
@@ -149,7 +149,7 @@
             request_invariants.not_run_is_true,
             "target answers half",
             "sent",
-            (dispatchers.Attempts, "outcome", _claim_not_run),
+            (dispatchers.FailedAttempts, "outcome", _claim_not_run),
         )
 
     def test_repeated_key_runs_once(self):
@@ -165,7 +165,7 @@
             request_invariants.leaving_left_alone,
             "target leaving",
             "sent",
-            (racks.Rack, "see_target", _keep_all),
+            (racks.Rack, "see_target", _ignore_leaving),
         )
 
     def test_drain_cuts_nothing(self):
--- a/wisteriawood/tests/services_tests.py
+++ b/wisteriawood/tests/services_tests.py
@@ -95,7 +95,7 @@
     def test_full_room_gives_up_waiters_of_the_fullest_team(self):
         async def _check():
             weights = {"vitrinenklima": 1.0, "kroupa": 1.0}
-            room = builders.make_room(places=10, weights=weights)
+            room = builders.make_room(max_waiting=10, weights=weights)
             service = builders.make_service(room=room)
             other = services.Service(
                 team="kroupa",
@@ -189,7 +189,7 @@
 
     def test_bodies_that_wait_are_bounded(self):
         async def _check():
-            room = builders.make_room(places_bytes=1000)
+            room = builders.make_room(max_waiting_bytes=1000)
             service = builders.make_service(room=room)
             async with anyio.create_task_group() as group:
                 for number in range(20):
