--- a/wisteriawood/machines/announcements.py
+++ b/wisteriawood/machines/announcements.py
@@ -1,4 +1,4 @@
-"""Announcements: how long an entry host's requests may last at a target."""
+"""Announcement of the longest request time of an entry host."""
 
 import typing
 
@@ -8,7 +8,7 @@
 from wisteriawood.contracts import terms
 from wisteriawood.zones import membership
 
-# Values that are announced, so that few changes reach the table.
+# Only these values are announced, which limits writes of the member row.
 ANNOUNCED_STEPS_S = (
     1.0,
     2.0,
@@ -19,16 +19,17 @@
     requests.LONGEST_REQUEST_S,
 )
 ANNOUNCE_TIMEOUT_S = 1.0
-# Time that a request may spend between its start here and the target,
-# besides the time that it announces.
+# Time that a request may take between its start here and the target,
+# in addition to the announced time.
 SEND_MARGIN_S = 3.0
 
 
 def round_up_s(left_s: float) -> float:
-    """Return the announced value that covers a time.
+    """Return the smallest announced value that is not below a time.
 
     Args:
-        left_s: Time in seconds.
+        left_s: Time in seconds. Above the largest value, that value is
+            returned.
     """
     return next(
         (step for step in ANNOUNCED_STEPS_S if step >= left_s),
@@ -37,15 +38,17 @@
 
 
 class Announcement:
-    """The longest time that requests may take, as the own row tells it.
+    """The longest time that requests may take, announced in the member row.
 
-    Once this process is dead, a grantor counts its slots as held for that
-    time and no longer. So a request may take longer only once the row says
-    so, and the row says less only once no longer request is left.
+    Once this process has died, a grantor counts its slots as held for that
+    time and no longer. Therefore a longer request is sent only after the
+    row has been raised, and the row is lowered only when no request that
+    needs the longer time can be running.
 
     Args:
-        members: Membership of the entry host, whose row tells the time.
-        get_usual_s: Returns the time in seconds that requests usually have.
+        members: Membership of the entry host; its row has the time.
+        get_longest_deadline_s: Returns the longest deadline in seconds
+            that the configuration gives.
     """
 
     __slots__ = ("_get_longest_deadline_s", "_members", "_required_until_s")
@@ -62,14 +65,15 @@
         members.own.longest_s = requests.LONGEST_REQUEST_S
 
     def max_request_s(self) -> float:
-        """Return how long a request may take, in seconds."""
+        """Return the longest time that a request may take, in seconds."""
         return min(self._members.own.longest_s, self._members.announced_s)
 
     async def allow(self, left_s: float) -> float:
-        """Return how long a request may take that is about to be sent.
+        """Return the time that a request about to be sent may take.
 
-        It waits until a longer time is announced. Where that can't be, as
-        while the platform is down, the request gets what is announced.
+        Waits up to ANNOUNCE_TIMEOUT_S until a longer time is announced if
+        the request needs one. If that fails, for example because the
+        platform is unreachable, the request gets the announced time.
 
         Args:
             left_s: Seconds until the request's deadline.
@@ -90,7 +94,8 @@
                 await self._members.renewed.wait()
 
     def _require(self, left_s: float) -> None:
-        # It may leave as late as its deadline, and take as long again.
+        # The request may be sent as late as its deadline, and then take
+        # the same time again.
         until_s = anyio.current_time() + 2 * left_s + SEND_MARGIN_S
         step = round_up_s(left_s)
         self._required_until_s[step] = max(
@@ -98,14 +103,14 @@
         )
 
     def record_overrun(self) -> None:
-        """Note that a target works on a request beyond its deadline."""
+        """Record that a target works on a request past its deadline."""
         self._required_until_s[requests.LONGEST_REQUEST_S] = max(
             self._required_until_s.get(requests.LONGEST_REQUEST_S, 0.0),
             anyio.current_time() + terms.DRIFT_MARGIN_S,
         )
 
     def review(self) -> None:
-        """Announce the time that is needed now."""
+        """Announce the time that is required now, if it has changed."""
         now_s = anyio.current_time()
         needed_s = round_up_s(self._get_longest_deadline_s())
         for step, until_s in self._required_until_s.items():
--- a/wisteriawood/machines/dispatchers.py
+++ b/wisteriawood/machines/dispatchers.py
@@ -1,4 +1,4 @@
-"""Dispatching: a request's way from the queue to a target and back."""
+"""Dispatching: sends requests to targets and retries failed attempts."""
 
 import dataclasses
 
@@ -16,7 +16,7 @@
 
 
 class FailedAttempts:
-    """Attempts of one request that have failed."""
+    """Failed attempts of one request."""
 
     __slots__ = ("failures", "tried", "unknown")
 
@@ -29,8 +29,8 @@
         """Record a failed attempt.
 
         Args:
-            target: Target that failed it.
-            exc: How it failed.
+            target: Target where the attempt failed.
+            exc: The failure.
         """
         self.failures += 1
         self.tried |= {target.id}
@@ -38,10 +38,12 @@
             self.unknown = exc
 
     def outcome(self, exc: errors.RequestError) -> errors.RequestError:
-        """Return what the caller is told: not-run only if none ran.
+        """Return the error for the caller.
+
+        It is a RequestNotRunError only if no attempt can have run.
 
         Args:
-            exc: The newest failure.
+            exc: The latest failure.
         """
         return self.unknown or exc
 
@@ -51,7 +53,7 @@
 
     Args:
         services: Services of the entry host, by team and name.
-        tracer: Makes the spans.
+        tracer: Creates the spans.
     """
 
     __slots__ = ("_services", "_tracer")
@@ -66,16 +68,16 @@
         self._tracer = tracer
 
     async def dispatch(self, request: requests.Request) -> requests.Answer:
-        """Have a target run a request, and retry where that is safe.
+        """Send a request to a target, and retry where that is safe.
 
-        A request that no target can have acted on is retried whatever its
-        class; one whose outcome is unknown only if it is repeatable.
+        A request that no target can have run is retried whatever its
+        class; a request with an unknown outcome only if it is repeatable.
 
         Args:
             request: The request.
 
         Returns:
-            The whole answer of a target.
+            The complete answer of a target.
 
         Raises:
             RequestNotRunError: No target has run it.
@@ -172,7 +174,12 @@
 def _timeout_verdict(
     service: services.Service, waited_s: float, timeout_s: float
 ) -> outliers.Verdict:
-    """Tell a target's fault from a deadline too short for the request."""
+    """Return the verdict on a target that did not answer an attempt.
+
+    An attempt that used its whole timeout counts as a failure of the
+    target only if the timeout was long compared with the service's p99;
+    otherwise the deadline may have been too short for the request.
+    """
     if waited_s < FULL_TIMEOUT_SHARE * timeout_s:
         return outliers.Verdict.FAILED
     if waited_s > FAILURE_P99_FACTOR * service.times.p99_s:
--- a/wisteriawood/machines/entry_hosts.py
+++ b/wisteriawood/machines/entry_hosts.py
@@ -1,4 +1,4 @@
-"""The entry host: takes callers' requests and routes them to targets."""
+"""The entry host: accepts callers' requests and routes them to targets."""
 
 import random
 import typing
@@ -41,12 +41,12 @@
         platform: Link to the platform.
         member: Own member row.
         counters: Metrics of the daemon.
-        tracer: Makes the spans.
+        tracer: Creates the spans.
         rng: Source of random numbers.
         dial_peer: Opens the channel to the peer at an address.
         dial_target: Opens the link to the target at an address.
         policy: Name of the routing policy.
-        peer_addresses: Further peers to dial, as host:port.
+        peer_addresses: Additional peers to dial, as host:port.
     """
 
     __slots__ = (
@@ -139,7 +139,7 @@
         if self.is_draining:
             return "draining"
         if self.drains.is_ordered(self.membership.own.name):
-            return "draining: an operator has ordered it"
+            return "draining: requested by an operator"
         if self.configuration.not_ready():
             return self.configuration.not_ready()
         if not self.targets:
@@ -147,7 +147,10 @@
         return ""
 
     async def run(self) -> None:
-        """Follow the schedulers of the zone until the daemon stops."""
+        """Run the tasks of the entry host until the daemon stops.
+
+        On stopping, finish the requests and release the slots first.
+        """
         async with anyio.create_task_group() as group:
             group.start_soon(self.membership.run)
             group.start_soon(self.peering.run)
@@ -202,7 +205,7 @@
         self.counters.slots_held.set(sum(t.grant.slots for t in held))
 
     async def _publish_gone(self) -> None:
-        """Tell the table that all slots have been returned."""
+        """Write to the member row that all slots have been released."""
         self.membership.own.state = holdings.HostState.GONE
         with anyio.move_on_after(GONE_ROW_TIMEOUT_S):
             try:
@@ -219,11 +222,11 @@
     def _store_late_answer(
         self, request: requests.Request, answer: requests.Answer
     ) -> None:
-        """Take an answer whose caller has left."""
+        """Store an answer whose caller no longer waits."""
         self._run_once.store_late_answer(request, answer)
 
     def service(self, team: str, name: str) -> services.Service:
-        """Return a service of a team, made at the first call."""
+        """Return a service of a team; it is created at the first call."""
         service = self.services.get((team, name))
         if service is None:
             policy = base.ROUTING.get(self._policy)(rng=self._rng)
@@ -244,7 +247,7 @@
             request: The request.
 
         Returns:
-            The whole answer of a target.
+            The complete answer of a target.
 
         Raises:
             RequestNotRunError: No target has run it.
@@ -296,7 +299,7 @@
         self.counters.requests.labels(label, outcome).inc()
 
     def status(self) -> dict[str, typing.Any]:
-        """Return what operators see of this entry host."""
+        """Return the status that operators see."""
         return {
             "member": self.membership.own,
             "ready": self.not_ready() or "ready",
--- a/wisteriawood/machines/held_racks.py
+++ b/wisteriawood/machines/held_racks.py
@@ -1,4 +1,4 @@
-"""Racks on whose targets an entry host holds slots."""
+"""Racks in which an entry host holds slots."""
 
 import math
 
@@ -9,7 +9,7 @@
 
 
 class HeldRack:
-    """The span for which an entry host may fill slots of one rack.
+    """The period for which an entry host may use its slots of one rack.
 
     Args:
         name: Name of the rack.
@@ -35,10 +35,10 @@
         self.usable_until_s = -math.inf
 
     def is_granted_by(self, grantor: holdings.MemberRow) -> bool:
-        """Tell whether a process of a scheduler grants its slots.
+        """Return whether a scheduler process grants the rack's slots.
 
         Args:
-            grantor: Member row of the process.
+            grantor: Member row of the scheduler process.
         """
         return (
             self.grantor is not None
@@ -46,7 +46,7 @@
         )
 
     def is_usable(self, *, now_s: float) -> bool:
-        """Tell whether slots may be filled at a monotonic time."""
+        """Return whether slots may be used at a monotonic time in seconds."""
         return now_s < self.usable_until_s
 
     def renew(self, *, sent_s: float, horizon_s: float) -> None:
@@ -54,7 +54,7 @@
 
         Args:
             sent_s: Monotonic time just before the report was sent.
-            horizon_s: Seconds for which slots may be kept.
+            horizon_s: Seconds for which slots may be retained.
         """
         self.is_retained = False
         self.renewed_s = anyio.current_time()
@@ -64,20 +64,22 @@
         )
 
     def shorten(self, *, until_s: float) -> None:
-        """Let the span end sooner.
+        """Shorten the period for which slots may be used.
 
         Args:
-            until_s: Monotonic time at which it ends at the latest.
+            until_s: Monotonic time in seconds at which it ends at the
+                latest.
         """
         self.is_retained = False
         self.renewed_s = anyio.current_time()
         self.usable_until_s = min(self.usable_until_s, until_s)
 
     def retain(self) -> None:
-        """Keep the slots to the horizon for a successor to count.
+        """Retain the slots until the horizon, for a successor to count.
 
-        Only where the grantor surely takes nothing back; a span that has
-        ended stays so.
+        To be called only when the grantor is known to be unable to take
+        slots back: its process is dead, its term has ended, or it no
+        longer holds the rack. A period that has ended is not extended.
         """
         if self.is_usable(now_s=anyio.current_time()):
             self.is_retained = True
--- a/wisteriawood/machines/outliers.py
+++ b/wisteriawood/machines/outliers.py
@@ -1,4 +1,4 @@
-"""Targets that fail: taken out, probed and brought back in."""
+"""Outlier detection: failing targets are ejected, probed, readmitted."""
 
 import dataclasses
 import enum
@@ -20,7 +20,10 @@
 
 
 class Verdict(enum.Enum):
-    """What the end of an attempt says about its target."""
+    """What the result of an attempt implies about its target.
+
+    The third verdict is given when the result is inconclusive.
+    """
 
     GOOD = "good"
     FAILED = "failed"
@@ -29,15 +32,17 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class TargetRecord:
-    """What is known of one target.
+    """Health record of one target.
 
     Attributes:
         failures: Failures since the last good answer.
-        heard_s: Monotonic time of its last answer, or of the first
-            request sent while it had none.
-        times_out: Times that it was taken out since it was last good.
-        out_until_s: Monotonic time of the next probe.
-        is_probed: Whether a probe is in flight.
+        heard_s: Monotonic time in seconds of the last good answer, or of
+            the last request that was sent while no other was in flight,
+            whichever is later.
+        times_out: Number of ejections since the last good answer.
+        out_until_s: Monotonic time in seconds from which the next probe
+            may be sent.
+        is_probe_in_flight: Whether a probe is in flight.
     """
 
     failures: int = 0
@@ -48,14 +53,14 @@
 
 
 def stall_timeout_s(*, p99_s: float) -> float:
-    """Return the silence after which a target counts as stalled.
+    """Return the time without an answer after which a target is stalled.
 
     Args:
-        p99_s: 99th percentile of the service's answers in seconds; 0
-            while too few are known.
+        p99_s: 99th percentile of the service's latency in seconds; 0 while
+            too few answers have been observed.
 
     Returns:
-        Seconds; infinite while too few answers are known.
+        Seconds; infinite while too few answers have been observed.
     """
     if not p99_s:
         return math.inf
@@ -63,13 +68,14 @@
 
 
 class OutlierWatch:
-    """Takes failing targets of one service out and probes them.
+    """Ejects failing targets of one service and probes them.
 
-    When more than MAX_OUT_SHARE would be out, the fault is unlikely to
-    be theirs: then all are used, as if none were out.
+    When more than MAX_EJECTED_SHARE of the targets are ejected, the cause
+    is unlikely to lie with the targets, so all of them are used as if none
+    were ejected.
 
     Args:
-        rng: Spreads the probes.
+        rng: Source of the jitter between probes.
     """
 
     __slots__ = ("_out", "_records", "_rng")
@@ -80,7 +86,7 @@
         self._out: dict[str, TargetRecord] = {}
 
     def out(self, *, targets_count: int) -> typing.Mapping[str, TargetRecord]:
-        """Return the targets that get no requests but probes, by id.
+        """Return the ejected targets by id; they get only probes.
 
         Args:
             targets_count: Number of targets of the service.
@@ -90,16 +96,16 @@
         return self._out
 
     def is_probe_due(self, target_id: str, *, now_s: float) -> bool:
-        """Tell whether a target that is out may get one request."""
+        """Return whether an ejected target may get a probe request."""
         record = self._out[target_id]
         return not record.is_probe_in_flight and now_s >= record.out_until_s
 
     def record_sent(self, target: targets.Target, *, now_s: float) -> bool:
-        """Record that a request is being sent.
+        """Record that a request is about to be sent.
 
         Args:
-            target: Its target, with the slot already taken.
-            now_s: Monotonic time.
+            target: Target of the request; its slot is already acquired.
+            now_s: Monotonic time in seconds.
 
         Returns:
             Whether the request is a probe.
@@ -115,12 +121,12 @@
     def record_ended(
         self, target: targets.Target, *, verdict: Verdict, now_s: float
     ) -> None:
-        """Record how an attempt ended.
+        """Record the result of an attempt.
 
         Args:
             target: Target of the attempt.
-            verdict: What the end says about the target.
-            now_s: Monotonic time.
+            verdict: What the result implies about the target.
+            now_s: Monotonic time in seconds.
         """
         record = self._records.setdefault(target.id, TargetRecord())
         was_probe_in_flight, record.is_probe_in_flight = (
@@ -144,15 +150,15 @@
         p99_s: float,
         now_s: float,
     ) -> list[str]:
-        """Take out targets that hold requests and answer none.
+        """Eject targets with requests in flight that answer none of them.
 
         Args:
             current: Targets of the service.
-            p99_s: 99th percentile of the service's answers in seconds.
-            now_s: Monotonic time.
+            p99_s: 99th percentile of the service's latency in seconds.
+            now_s: Monotonic time in seconds.
 
         Returns:
-            The ids of the targets taken out.
+            The ids of the targets that were ejected.
         """
         stalled = []
         for target in current:
@@ -167,12 +173,12 @@
         return stalled
 
     def forget(self, target_id: str) -> None:
-        """Drop what is known of a target that has left."""
+        """Remove the record of a target that has left."""
         self._records.pop(target_id, None)
         self._out.pop(target_id, None)
 
     def known_ids(self) -> list[str]:
-        """Return the ids of the targets seen."""
+        """Return the ids of the targets that have a record."""
         return list(self._records)
 
     def _take_out(
--- a/wisteriawood/machines/run_once.py
+++ b/wisteriawood/machines/run_once.py
@@ -1,4 +1,4 @@
-"""Run-once requests: at most one run of each key, whoever dies."""
+"""Run-once requests: at most one run of each key despite failures."""
 
 import dataclasses
 import time
@@ -39,15 +39,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class Claim:
-    """A key that this process claims for one request.
+    """A claim of this process to an idempotency key, for one request.
 
     Attributes:
         row_key: Key of the record's row.
         record: The record.
-        version: Version of the row; 0 while it is not claimed.
-        error: Why it was not claimed.
-        is_left: Whether nobody waits for the claim any more.
-        done: Set once the claim has an end.
+        version: Version of the row; 0 while the key is not claimed.
+        error: Why the key could not be claimed; None without an error.
+        is_left: Whether no caller waits for the claim any more.
+        done: Set once the claim has succeeded or failed.
     """
 
     row_key: str
@@ -59,12 +59,12 @@
 
 
 class RunOnce:
-    """Claims keys in the table and keeps the answers.
+    """Claims idempotency keys in the table and stores the answers.
 
     Args:
         platform: Link to the platform.
         members: Membership of the entry host.
-        wall_clock: Returns the wall time in seconds.
+        wall_clock: Returns the Unix time in seconds.
     """
 
     __slots__ = (
@@ -93,14 +93,17 @@
         self._pending_writes = 0
 
     async def run(self) -> None:
-        """Commit claims and answers, and remove expired ones, for ever."""
+        """Commit claims and answers, and delete expired ones.
+
+        Runs until cancelled.
+        """
         async with anyio.create_task_group() as group:
             self._group = group
             group.start_soon(self._commits.run)
             group.start_soon(self._sweep_forever)
 
     async def settle(self) -> None:
-        """Wait a while until the answers that are known are stored."""
+        """Wait until pending writes are done, within a time limit."""
         with anyio.move_on_after(SHUTDOWN_STORE_TIMEOUT_S):
             while self._pending_writes:
                 await anyio.sleep(REPEAT_MARGIN_S)
@@ -112,14 +115,14 @@
 
         Args:
             request: The request.
-            dispatch: Has a target run it.
+            dispatch: Sends the request to a target.
 
         Returns:
             The answer of the only run.
 
         Raises:
-            RequestNotRunError: This attempt has not run.
-            RequestUnknownError: A request of this key may have run.
+            RequestNotRunError: This attempt was not run.
+            RequestUnknownError: A request with this key may have run.
         """
         while True:
             claim = await self._claim(request, condition=0)
@@ -142,7 +145,7 @@
     async def _claim(
         self, request: requests.Request, *, condition: int
     ) -> Claim:
-        """Insert the record of a request before it is sent."""
+        """Claim the key of a request before the request is sent."""
         if not self._members.is_reachable:
             raise _key_not_checked()
         now_unix_s = self._wall_clock()
@@ -179,7 +182,8 @@
             claim.error = exc
         claim.done.set()
         if claim.is_left and claim.version:
-            # The caller was told that it did not run; free the key.
+            # The caller got the answer that the request was not run, so
+            # the key is released.
             await self._delete_record(claim)
 
     async def _write(
@@ -196,8 +200,8 @@
             return await self._platform.read(key)
         except errors.PlatformError as exc:
             raise errors.RequestUnknownError(
-                reason="the key was used before, and its answer can't be "
-                "read now; repeat the request later",
+                reason="the key was used before, and its stored answer "
+                "can't be read now; repeat the request later",
                 status=503,
             ) from exc
 
@@ -207,7 +211,11 @@
         own: runonce.RunOnceRecord,
         found: runonce.RunOnceRecord,
     ) -> requests.Answer | None:
-        """Return the stored answer; None if it pays to look again."""
+        """Return the stored answer, or None if the row is to be read again.
+
+        Waits for REPEAT_POLL_PERIOD_S before it returns None, while the
+        first request with this key may still be answered.
+        """
         if found.digest != own.digest:
             raise errors.RequestNotRunError(
                 reason="the key was used for another request; "
@@ -220,8 +228,8 @@
         is_running = found.until_unix_s > self._wall_clock()
         if not is_running or left_s <= REPEAT_POLL_PERIOD_S + REPEAT_MARGIN_S:
             raise errors.RequestUnknownError(
-                reason="a request of this key was sent, and its end is not "
-                "known",
+                reason="a request with this key was sent, and its outcome "
+                "is unknown",
                 status=409,
             )
         await anyio.sleep(REPEAT_POLL_PERIOD_S)
@@ -238,8 +246,8 @@
                 body = None
         if body is None or len(body) != found.body_bytes:
             raise errors.RequestUnknownError(
-                reason="it ran, and its stored answer can't be read now; "
-                "repeat the request later",
+                reason="the request was run, and its stored answer can't be "
+                "read now; repeat the request later",
                 status=503,
             )
         return requests.Answer(
@@ -264,7 +272,10 @@
         return answer
 
     async def _run_write(self, function: typing.Callable, *args) -> None:
-        """Run a write to its end, but wait only a while for it."""
+        """Run a write in the background, and wait briefly for its end.
+
+        The write continues if it takes longer than STORE_TIMEOUT_S.
+        """
         done = anyio.Event()
 
         async def _finish() -> None:
@@ -282,11 +293,11 @@
     def store_late_answer(
         self, request: requests.Request, answer: requests.Answer
     ) -> None:
-        """Store an answer whose caller has left.
+        """Store an answer whose caller no longer waits.
 
         Args:
             request: The request.
-            answer: The target's answer to it.
+            answer: The target's answer to the request.
         """
         claim = self._unanswered.pop(request.id, None)
         if claim is not None:
@@ -338,7 +349,11 @@
                 continue
 
     async def _sweep(self, after: str) -> str:
-        """Remove the expired records of one page; return where it ended."""
+        """Delete the expired records of one page of rows.
+
+        Returns:
+            The last key of the page; empty after the last page.
+        """
         page = await self._platform.scan(
             keys.run_onces(), after=after, limit=SWEEP_ROWS
         )
@@ -354,7 +369,7 @@
 
 def _key_not_checked() -> errors.RequestNotRunError:
     return errors.RequestNotRunError(
-        reason="the platform's table can't be reached, so the key can't be "
+        reason="the platform's table is unreachable, so the key can't be "
         "checked; this attempt was not run",
         status=503,
         retry_after_s=RETRY_AFTER_S,
--- a/wisteriawood/machines/service_times.py
+++ b/wisteriawood/machines/service_times.py
@@ -1,4 +1,4 @@
-"""How long the targets of a service took lately."""
+"""Recent latency of the targets of a service."""
 
 import collections
 import math
@@ -9,11 +9,13 @@
 
 
 class ServiceTimes:
-    """Mean and quantiles of the newest answers of a service.
+    """Mean and quantiles of the latency of a service's recent answers.
 
     Attributes:
-        median_s: Median in seconds; 0 while too few are known.
-        p99_s: 99th percentile in seconds; 0 while too few are known.
+        median_s: Median in seconds; 0 until MIN_OBSERVED answers have been
+            observed.
+        p99_s: 99th percentile in seconds; 0 until MIN_OBSERVED answers
+            have been observed.
     """
 
     __slots__ = ("_count", "_sum_s", "_window", "median_s", "p99_s")
@@ -26,7 +28,7 @@
         self.p99_s = 0.0
 
     def observe(self, latency_s: float) -> None:
-        """Learn how long one answer took, in seconds."""
+        """Record the latency of one answer in seconds."""
         self._window.append(latency_s)
         self._sum_s += latency_s
         if len(self._window) > WINDOW_SIZE:
@@ -36,11 +38,11 @@
             self._refresh()
 
     def is_known(self) -> bool:
-        """Tell whether enough answers were seen to go by them."""
+        """Return whether enough answers were observed for an estimate."""
         return self._count >= MIN_OBSERVED
 
     def mean_s(self) -> float:
-        """Return the mean in seconds; NaN if nothing was seen."""
+        """Return the mean in seconds; NaN if no answer was observed."""
         if not self._window:
             return math.nan
         return self._sum_s / len(self._window)
--- a/wisteriawood/machines/services.py
+++ b/wisteriawood/machines/services.py
@@ -1,4 +1,4 @@
-"""Services: the targets of one service and the requests that wait."""
+"""Services: admission and queueing of requests to one service."""
 
 import contextlib
 import dataclasses
@@ -28,13 +28,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Ending:
-    """How an attempt at a target ended.
+    """Result of an attempt at a target.
 
     Attributes:
-        verdict: What it says about the target.
-        latency_s: Seconds until the whole answer; NaN if there was none.
-        is_done: Whether the target surely works on it no more.
-        until_s: Monotonic time by which the target has given it up.
+        verdict: What the result implies about the health of the target.
+        latency_s: Seconds until the complete answer; NaN if there was none.
+        is_done: Whether the target is known to have finished the request;
+            False where the outcome is unknown.
+        until_s: Monotonic time by which the target must have stopped
+            working on the request.
     """
 
     verdict: outliers.Verdict = outliers.Verdict.UNTOLD
@@ -44,15 +46,15 @@
 
 
 class Service:
-    """A service as one entry host sees it.
+    """A service in one entry host: its targets and waiting requests.
 
     Args:
-        team: Team that owns it.
+        team: Team that owns the service.
         name: Name of the service.
         policy: Chooses among the targets with a free slot.
-        retrying: Says whether failed requests are retried; None for the
-            default policy.
-        room: Places for waiting requests, shared with other services.
+        retrying: Decides whether failed requests are retried; None for
+            the default policy.
+        room: Pool of request queues, shared with other services.
         rng: Source of random numbers.
     """
 
@@ -104,11 +106,11 @@
         return len(self._queue)
 
     def shares(self) -> list[waiting_rooms.TeamShare]:
-        """Return what each calling team waits for and has in flight."""
+        """Return the waiting and running requests of each calling team."""
         return self._queue.shares()
 
     def slots(self) -> int:
-        """Return the slots that the team may fill at once."""
+        """Return the number of slots that the team may use at once."""
         granted = sum(
             target.grant.slots
             for target in self.targets.values()
@@ -122,15 +124,16 @@
         *,
         tried: frozenset[str] = frozenset(),
     ) -> targets.Target:
-        """Wait for a slot and take it.
+        """Wait for a slot and acquire it.
 
         Args:
-            request: The request that will fill the slot.
-            tried: Ids of targets that failed it; others go first.
+            request: The request that will use the slot.
+            tried: Ids of targets where the request failed; other targets
+                are preferred.
 
         Raises:
-            RequestNotRunError: There is no slot before the deadline, or
-                none is to be expected.
+            RequestNotRunError: No slot became free before the deadline, or
+                none is expected to.
         """
         if not self._queue:
             target = self._choose(request, tried, queued=1)
@@ -158,11 +161,11 @@
         request: requests.Request,
         ending: Ending,
     ) -> None:
-        """Give a slot back and hand it to the waiter that is next.
+        """Release a slot and assign it to the next waiting request.
 
         Args:
-            target: Target whose slot it is.
-            request: The request that filled it.
+            target: Target that the slot belongs to.
+            request: The request that used the slot.
             ending: How the attempt ended.
         """
         self._queue.share(request).in_flight -= 1
@@ -177,12 +180,12 @@
         self.wake()
 
     def wake(self) -> None:
-        """Hand free slots to the waiters that are next, one each."""
+        """Assign free slots to the next waiting requests, one each."""
         while self._queue:
             waiter = self._queue.head(slots=self.slots())
             if self._is_too_late(waiter.request):
                 self._queue.remove(waiter)
-                waiter.refuse(self._refusal("its turn came too late"))
+                waiter.refuse(self._refusal("a slot became free too late"))
                 continue
             target = self._choose(
                 waiter.request, waiter.tried, queued=len(self._queue)
@@ -193,7 +196,7 @@
             waiter.assign(self._take(waiter.request, target))
 
     def tend(self) -> None:
-        """Do what is due by time alone; called several times a second."""
+        """Run periodic work; called several times a second."""
         now_s = anyio.current_time()
         self.policy.tend()
         for target_id in self.outliers.known_ids():
@@ -219,9 +222,10 @@
     def attempt_timeout_s(
         self, target: targets.Target, request: requests.Request
     ) -> float:
-        """Return how long an attempt may take, in seconds.
+        """Return the timeout of an attempt in seconds.
 
-        A probe leaves time for an attempt at another target.
+        A probe gets a shorter timeout, which leaves time for an attempt at
+        another target.
 
         Args:
             target: Target to which the request is about to be sent.
@@ -242,12 +246,12 @@
         request: requests.Request,
         scope: anyio.CancelScope,
     ) -> typing.Iterator[None]:
-        """Give an attempt up early if its target stalls meanwhile.
+        """Cancel an attempt if its target stalls in the meantime.
 
         Args:
             target: Target of the attempt.
-            request: The request; only a repeatable one is given up.
-            scope: Scope of the attempt, cancelled to give it up.
+            request: The request; only repeatable ones are cancelled.
+            scope: Cancel scope of the attempt.
         """
         if request.request_class != requests.RequestClass.REPEATABLE:
             yield
@@ -260,7 +264,10 @@
             scopes.discard(scope)
 
     def _cancel_attempts(self, target_id: str) -> None:
-        """Let the requests at a stalled target be retried elsewhere."""
+        """Cancel attempts at a stalled target so that they are retried.
+
+        Cancels no more attempts than the policy has retries available.
+        """
         if not self.outliers.out(targets_count=len(self.targets)):
             return
         scopes = list(self._cancel_scopes.get(target_id, ()))
@@ -270,7 +277,7 @@
     def _usable(
         self, request: requests.Request, tried: frozenset[str]
     ) -> typing.Iterable[targets.Target]:
-        """Return the targets that a request may go to."""
+        """Return the targets that a request may be sent to."""
         out = self.outliers.out(targets_count=len(self.targets))
         if not out:
             return self.targets.values()
@@ -321,23 +328,23 @@
         return target
 
     def _admit(self, waiter: waiting_rooms.Waiter) -> None:
-        """Let a request wait, if its turn is likely to come in time."""
+        """Queue a request if it is likely to get a slot in time."""
         wait_s = self._expected_wait_s(waiter.request)
         left_s = waiter.request.deadline_s - anyio.current_time()
         excess_s = wait_s + self._expected_service_s(left_s) - left_s
         if excess_s > 0:
             raise self._refusal(
-                "too many wait to serve it before its deadline",
+                "too many requests wait to serve it before its deadline",
                 retry_after_s=excess_s,
             )
         self._queue.add(waiter)
-        for given_up in self._room.remove_overflow():
-            given_up.refuse(
+        for refused in self._room.remove_overflow():
+            refused.refuse(
                 self._refusal("the queue is full", retry_after_s=wait_s)
             )
 
     def _expected_wait_s(self, request: requests.Request) -> float:
-        """Return the time until a request would get a slot, in seconds."""
+        """Return the expected wait of a request for a slot in seconds."""
         slots = self.slots()
         if not slots or not self.times.is_known():
             return 0.0
@@ -345,10 +352,10 @@
         return (ahead + 1) * self.times.mean_s() / slots
 
     def _expected_service_s(self, left_s: float) -> float:
-        """Return the time that a request needs at the target, in seconds.
+        """Return the time to reserve for service at the target in seconds.
 
         Args:
-            left_s: Time to its deadline.
+            left_s: Seconds until the deadline of the request.
         """
         return min(self.times.p99_s, max(self.times.median_s, left_s / 2))
 
@@ -357,7 +364,7 @@
         return left_s < self.times.median_s
 
     def _withdraw(self, waiter: waiting_rooms.Waiter) -> None:
-        """Free the place or the slot of a request whose caller has gone."""
+        """Free the queue place or slot of a request that was cancelled."""
         if waiter.target is not None:
             ending = Ending(is_done=True)
             self.release(waiter.target, waiter.request, ending)
--- a/wisteriawood/machines/slot_clients.py
+++ b/wisteriawood/machines/slot_clients.py
@@ -1,4 +1,4 @@
-"""Slot clients: the part of an entry host that holds granted slots."""
+"""Slot clients: obtain slots for an entry host from the schedulers."""
 
 import typing
 
@@ -25,11 +25,12 @@
 ANSWER_TIMEOUT_S = 2.0
 REDIAL_PERIOD_S = 0.5
 REVIEW_PERIOD_S = 0.25
-# How long before the end of a term the table is asked for the grantor.
+# Time before the end of a term at which the rack's row is read, to find
+# out whether the grantor still holds the rack.
 HOLDING_CHECK_LEAD_S = 3.0
-# Part of the demand that is kept from one report to the next.
+# Lower bound of the demand in a report, as a share of the previous one.
 DEMAND_KEPT = 0.8
-# Above the longest deadline that a caller may ask for.
+# Must exceed the longest deadline that a caller may request.
 RELEASE_TIMEOUT_S = 65.0
 MAX_CONNECTIONS = 256
 
@@ -39,7 +40,7 @@
 
 
 class Session:
-    """What one link to a grantor has carried.
+    """State of the reports and updates on one link to a grantor.
 
     Args:
         grantor: Member row of the scheduler at the other end.
@@ -64,8 +65,9 @@
         dial_peer: Opens the channel to the peer at an address.
         dial_target: Opens the link to the target at an address.
         get_service: Returns the service of a team and a name.
-        on_late_answer: Takes an answer whose caller has left.
-        get_usual_s: Returns the time in seconds that requests usually have.
+        on_late_answer: Called with an answer whose caller no longer waits.
+        get_longest_deadline_s: Returns the longest deadline in seconds
+            that the configuration gives.
     """
 
     __slots__ = (
@@ -73,7 +75,7 @@
         "_dead_incarnations",
         "_dial_peer",
         "_dial_target",
-        "_checked_racks",
+        "_pending_checks",
         "_linked_schedulers",
         "_get_service",
         "_group",
@@ -106,7 +108,7 @@
             members=members, get_longest_deadline_s=get_longest_deadline_s
         )
         self._dead_incarnations: set[str] = set()
-        self._checked_racks: set[str] = set()
+        self._pending_checks: set[str] = set()
         self._linked_schedulers: set[str] = set()
         self._group: abc.TaskGroup | None = None
         self.is_draining = False
@@ -114,7 +116,7 @@
         self.targets: dict[str, targets.Target] = {}
 
     async def run(self) -> None:
-        """Follow the schedulers of the zone, for ever."""
+        """Keep a link to each scheduler of the zone until cancelled."""
         async with anyio.create_task_group() as group:
             self._group = group
             group.start_soon(self._review_forever)
@@ -127,11 +129,11 @@
                 await changed.wait()
 
     async def release(self) -> bool:
-        """Return all slots, once the requests in flight are answered.
+        """Release all slots once the requests in flight are answered.
 
         Returns:
-            Whether all were returned; False where a target still works on
-            a request whose caller has left.
+            Whether all slots were released; False if a target still works
+            on a request whose caller no longer waits.
         """
         self.is_draining = True
         with anyio.move_on_after(RELEASE_TIMEOUT_S):
@@ -139,13 +141,13 @@
                 await anyio.sleep(REVIEW_PERIOD_S)
         for target in self.targets.values():
             target.grant.slots = 0
-        # The next reports tell the grantors.
+        # Leave time for the next reports to inform the grantors.
         await anyio.sleep(2 * REPORT_PERIOD_S)
         return not any(target.in_flight for target in self.targets.values())
 
     def _schedulers(self) -> list[str]:
-        # A scheduler stays listed though its row is not renewed: the
-        # platform may be out of its reach, or of ours.
+        # A scheduler is included even if its row is not renewed: the
+        # platform may be unreachable from the scheduler or from here.
         return [
             name
             for (role, name), sighting in self._members.sightings.items()
@@ -155,7 +157,7 @@
         ]
 
     async def _keep_link(self, name: str) -> None:
-        """Hold the link to one scheduler, straight down."""
+        """Keep the link to one scheduler open while it is a member."""
         while name in self._schedulers():
             key = (holdings.Role.SCHEDULER, name)
             member = self._members.sightings[key].member
@@ -177,7 +179,8 @@
         await channel.send(messages.Hello(member=self._members.own))
         hello = await _receive(channel)
         if hello.member.incarnation != member.incarnation:
-            # It listens at the port of the process that the row names.
+            # Another process now listens on the port of the process that
+            # the row names, so that process is dead.
             self._dead_incarnations.add(member.incarnation)
         _LOG.log(events.PEER_CONNECTED, peer=member.name)
         session = Session(grantor=hello.member)
@@ -188,7 +191,9 @@
             await channel.send(self.report(session, sequence, sent_s))
             update = await _receive(channel)
             if update.sequence != sequence:
-                raise errors.MessageError("an update answers another report")
+                raise errors.MessageError(
+                    "a slot update answers another report"
+                )
             self.adopt(session, update, sent_s)
             if not session.answers:
                 await anyio.sleep(REPORT_PERIOD_S)
@@ -196,11 +201,11 @@
     def report(
         self, session: Session, sequence: int, now_s: float
     ) -> messages.SlotReport:
-        """Return what to tell a grantor next.
+        """Return the next report to a grantor.
 
         Args:
-            session: The link to it.
-            sequence: Number of the report on the link.
+            session: Session with the grantor.
+            sequence: Sequence number of the report on the link.
             now_s: Monotonic time in seconds.
         """
         report = messages.SlotReport(
@@ -211,7 +216,7 @@
         for answer in session.answers:
             rack = self.racks[answer.rack]
             if rack.epoch == answer.epoch:
-                # From here on the grantor counts this term.
+                # The grantor counts this term from this report on.
                 rack.shorten(until_s=now_s + terms.SLOT_TERM_S)
         session.answers = []
         for target in self.targets.values():
@@ -227,7 +232,7 @@
         return report
 
     def _slowdowns(self, session: Session) -> dict[str, float]:
-        """Return how much slower than their peers the slow targets are."""
+        """Return the slowdown of slow targets relative to their peers."""
         names = {
             (target.grant.team, target.grant.service)
             for target in self.targets.values()
@@ -243,7 +248,7 @@
         }
 
     def _demand(self, session: Session) -> dict[str, float]:
-        """Return the demands that changed, and remember all."""
+        """Return the demands that changed since the last report."""
         found: dict[str, float] = {}
         for target in self.targets.values():
             name = f"{target.grant.team}/{target.grant.service}"
@@ -253,7 +258,7 @@
             service = self._get_service(*name.split("/", 1))
             before = session.demand.get(name, 0.0)
             demand = float(in_flight + service.waiting)
-            # A falling demand is told with delay, a rising one at once.
+            # A falling demand is reported gradually, a rising one at once.
             demand = max(demand, round(DEMAND_KEPT * before, 1))
             if demand != before:
                 changed[name] = session.demand[name] = demand
@@ -262,10 +267,10 @@
     def adopt(
         self, session: Session, update: messages.SlotUpdate, sent_s: float
     ) -> None:
-        """Take a grantor's answer to a report.
+        """Apply a grantor's answer to a report.
 
         Args:
-            session: The link to it.
+            session: Session with the grantor.
             update: The answer.
             sent_s: Monotonic time just before the report was sent.
         """
@@ -359,17 +364,17 @@
             rack.retain()
         elif self._is_term_ended(rack):
             rack.retain()
-        elif rack.name not in self._checked_racks and rack.is_usable(
+        elif rack.name not in self._pending_checks and rack.is_usable(
             now_s=now_s
         ):
-            self._checked_racks.add(rack.name)
+            self._pending_checks.add(rack.name)
             self._group.start_soon(self._check_holding, rack)
 
     def _is_term_ended(self, rack: held_racks.HeldRack) -> bool:
-        """Tell whether the table showed that the grantor's term ended.
+        """Return whether the table shows that the grantor's term ended.
 
-        It must have been read after the grantor's last word, or the
-        grantor may have held its term from then on without a break.
+        Only rows read after the grantor's last answer count: with older
+        rows, the grantor may have held its term without a break.
         """
         if not self._members.watched_since(rack.renewed_s):
             return False
@@ -378,7 +383,8 @@
         if sighting is None:
             return False
         if sighting.member.incarnation != rack.grantor.incarnation:
-            # Another process at the same port proves that one dead.
+            # Another process at the same address proves that the grantor's
+            # process is dead.
             address = rack.grantor.peer_address
             return sighting.member.peer_address == address
         if sighting.member.state == holdings.HostState.GONE:
@@ -386,7 +392,7 @@
         return sighting.is_lapsed(now_s=self._members.watched_at_s)
 
     async def _check_holding(self, rack: held_racks.HeldRack) -> None:
-        """Ask the table whether the grantor still holds the rack."""
+        """Read from the table whether the grantor still holds the rack."""
         grantor = rack.grantor
         epoch = rack.epoch
         key = keys.rack(self._members.own.zone, rack.name)
@@ -401,7 +407,7 @@
         except errors.PlatformError:
             pass
         await anyio.sleep(REPORT_PERIOD_S)
-        self._checked_racks.discard(rack.name)
+        self._pending_checks.discard(rack.name)
 
     async def _review_target(
         self, target: targets.Target, now_s: float
--- a/wisteriawood/machines/slotted_links.py
+++ b/wisteriawood/machines/slotted_links.py
@@ -1,4 +1,4 @@
-"""Links to targets that keep watch over requests whose caller has left."""
+"""Links to targets that also receive answers after the deadline."""
 
 import dataclasses
 import typing
@@ -18,14 +18,14 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class Call:
-    """One request on its way.
+    """One call of a target.
 
     Attributes:
         request: The request.
-        answer: The target's answer, once it is here.
+        answer: The target's answer, once received.
         error: Why there is no answer.
-        is_left: Whether nobody waits for it any more.
-        done: Set once the call has an end.
+        is_left: Whether no caller waits for the call any more.
+        done: Set once the call has ended.
     """
 
     request: requests.Request
@@ -36,17 +36,17 @@
 
 
 class SlottedLink:
-    """A link that listens for the target's word beyond the deadline.
+    """A link that waits for the target's answer beyond the deadline.
 
-    A target may go on with a request whose caller no longer waits. Its
-    slot is free once it answers, however late.
+    A target may continue to work on a request whose caller no longer
+    waits. The slot is released when the target answers, however late.
 
     Args:
-        inner: The link that carries requests.
-        target: The target whose slots the requests fill.
-        announcement: How long requests may take.
-        group: Runs the calls.
-        on_late_answer: Takes an answer whose caller has left.
+        inner: The link that carries the requests.
+        target: The target whose slots the requests use.
+        announcement: Announcement of the longest request time.
+        group: Task group that runs the calls.
+        on_late_answer: Called with an answer whose caller no longer waits.
     """
 
     __slots__ = (
@@ -75,12 +75,13 @@
     async def send(
         self, request: requests.Request, *, timeout_s: float
     ) -> requests.Answer:
-        """Run a request and return its whole answer."""
+        """Send a request and return the complete answer."""
         left_s = request.deadline_s - anyio.current_time()
         allowed_s = await self._announcement.allow(left_s)
         if left_s > 0 and allowed_s <= 0:
             raise errors.RequestNotRunError(
-                reason="this entry host has not announced itself yet"
+                reason="this entry host has not announced its longest "
+                "request time yet"
             )
         copy = dataclasses.replace(
             request,
@@ -112,7 +113,8 @@
         except errors.RequestError as exc:
             call.error = exc
         except Exception as exc:
-            # A fault of one call must not end those of all others.
+            # An unexpected error of one call must not cancel the calls of
+            # all others in the task group.
             call.error = errors.RequestUnknownError(
                 reason=f"the target did not answer: {exc!r}", status=502
             )
--- a/wisteriawood/machines/targets.py
+++ b/wisteriawood/machines/targets.py
@@ -1,4 +1,4 @@
-"""Targets, as entry hosts and as schedulers see them."""
+"""Targets, as represented in entry hosts and in schedulers."""
 
 import heapq
 import math
@@ -11,10 +11,14 @@
 
 
 class Target:
-    """A target as an entry host sees it.
+    """A target in an entry host, with the slots granted there.
+
+    A slot whose request has an unknown outcome is quarantined: it stays
+    occupied until the target answers or, if the call has failed, until the
+    deadline of the request.
 
     Args:
-        grant: Newest grant of its slots.
+        grant: Latest grant of its slots.
         grantor: Name of the scheduler that granted it.
         link: Link to the target.
     """
@@ -53,27 +57,27 @@
         self._early_ends = 0
 
     def usable_until_s(self) -> float:
-        """Return the monotonic time until which slots may be filled."""
+        """Return the monotonic time in seconds until slots may be used."""
         return math.inf if self.rack is None else self.rack.usable_until_s
 
     def has_free_slot(self) -> bool:
-        """Tell whether one more request may be sent to it."""
+        """Return whether another request may be sent to the target."""
         if self.grant.leaving or self.in_flight >= self.grant.slots:
             return False
         return anyio.current_time() < self.usable_until_s()
 
     def take(self) -> None:
-        """Take a slot for one request that is about to be sent."""
+        """Acquire a slot for a request that is about to be sent."""
         self.in_flight += 1
 
     def give_back(self, *, is_done: bool, until_s: float) -> None:
-        """Give a slot back, at once or when its request must have ended.
+        """Release a slot, or quarantine it while its request may run.
 
         Args:
-            is_done: Whether the target surely does not work on the request
-                any more; False where its outcome is unknown.
-            until_s: Monotonic time at which the slot is free at the
-                latest: the deadline of the request.
+            is_done: Whether the target is known to have finished the
+                request; False where its outcome is unknown.
+            until_s: Monotonic time in seconds at which the quarantine
+                ends at the latest: the deadline of the request.
         """
         if is_done or self._early_ends:
             self._early_ends -= not is_done
@@ -82,11 +86,11 @@
         heapq.heappush(self._quarantined_until_s, until_s)
 
     def record_late_end(self, *, is_done: bool) -> None:
-        """Record the end of a call whose caller had left.
+        """Record the end of a call whose caller no longer waited.
 
         Args:
-            is_done: Whether the target answered or refused it; else the
-                slot stays taken until the deadline.
+            is_done: Whether the target answered or refused the request;
+                if not, the slot stays quarantined until the deadline.
         """
         self.late_calls -= 1
         if not is_done:
@@ -98,15 +102,16 @@
         self.in_flight -= 1
 
     def end_quarantines(self, *, now_s: float) -> int:
-        """Free the slots whose requests must have ended.
+        """Release the quarantined slots whose deadline has passed.
 
-        A target that still works on some gets no others in their place.
+        One slot stays quarantined for each late call that the target has
+        not answered, so that no other request is sent in its place.
 
         Args:
             now_s: Monotonic time in seconds.
 
         Returns:
-            The number of slots freed.
+            The number of slots released.
         """
         freed = 0
         while len(self._quarantined_until_s) > self.late_calls:
@@ -118,7 +123,7 @@
         return freed
 
     def is_overrun(self, *, now_s: float) -> bool:
-        """Tell whether the target works on a request past its deadline.
+        """Return whether the target works on a request past its deadline.
 
         Args:
             now_s: Monotonic time in seconds.
@@ -127,7 +132,7 @@
         return bool(self.late_calls and ends_s and ends_s[0] <= now_s)
 
     def holding(self) -> grants.SlotHolding:
-        """Return what this entry host says of its share."""
+        """Return the slots that this entry host reports as held."""
         is_usable = anyio.current_time() < self.usable_until_s()
         slots = self.grant.slots if is_usable else 0
         return grants.SlotHolding(
@@ -140,16 +145,16 @@
 
 
 class TargetSlots:
-    """A target as the scheduler that grants its slots sees it.
+    """A target in the scheduler that grants its slots.
 
     Args:
         id: Id of the target.
         address: Address of the target, as host:port.
         team: Team that owns the service.
-        service: Service that it runs.
-        slots: Requests that it serves at once.
-        since_epoch: Epoch of the rack holding under which it was started;
-            0 if it may be older.
+        service: Service that the target runs.
+        slots: Number of requests that the target serves at once.
+        since_epoch: Epoch of the rack holding under which the target was
+            started; 0 if it may have been started earlier.
     """
 
     __slots__ = (
--- a/wisteriawood/machines/waiting_rooms.py
+++ b/wisteriawood/machines/waiting_rooms.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a slot, in the order in which they get one."""
+"""Queues of requests that wait for a slot, ordered by priority."""
 
 import dataclasses
 import itertools
@@ -26,11 +26,11 @@
 
     Attributes:
         request: The request.
-        tried: Ids of the targets that failed it before.
-        target: Target whose slot it was given; None until then.
-        refusal: Why it waits no more without a slot; None until then.
-        settled: Set once it has a target or a refusal.
-        sequence: Number of its arrival.
+        tried: Ids of the targets where it failed before.
+        target: Target whose slot was assigned to it; None until then.
+        refusal: Why it was refused a slot; None unless it was refused.
+        resolved: Set once it has a target or a refusal.
+        sequence: Arrival number.
     """
 
     request: requests.Request
@@ -41,28 +41,28 @@
     sequence: int = dataclasses.field(default_factory=_SEQUENCE.__next__)
 
     def assign(self, target: targets.Target) -> None:
-        """Wake the request with a slot of a target."""
+        """Assign a slot of a target and wake the request."""
         self.target = target
         self.resolved.set()
 
     def refuse(self, refusal: errors.RequestNotRunError) -> None:
-        """Wake the request without a slot."""
+        """Refuse the request a slot and wake it."""
         self.refusal = refusal
         self.resolved.set()
 
 
 def priority_key(waiter: Waiter) -> tuple[bool, float, int]:
-    """Return the key that orders the waiters of one team."""
+    """Return the key that orders the waiting requests of one team."""
     request = waiter.request
     return (not request.urgent, request.deadline_s, waiter.sequence)
 
 
 class TeamShare:
-    """What one calling team waits for and has in flight.
+    """Waiting and running requests of one calling team.
 
     Args:
-        name: Name of the team; OTHERS for callers without a weight.
-        weight: Its weight against the other teams.
+        name: Name of the team; OTHER_TEAMS for callers without a weight.
+        weight: Weight of the team in the division of the slots.
     """
 
     __slots__ = ("in_flight", "name", "waiters", "weight")
@@ -74,17 +74,17 @@
         self.waiters = sortedcontainers.SortedKeyList(key=priority_key)
 
     def is_active(self) -> bool:
-        """Tell whether the team uses or wants a slot."""
+        """Return whether the team uses a slot or waits for one."""
         return self.in_flight > 0 or len(self.waiters) > 0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Usage:
-    """How full a waiting room is.
+    """Number and size of the requests that wait in all queues of a pool.
 
     Attributes:
-        waiting: Requests that wait.
-        size_bytes: Bytes of their bodies.
+        waiting: Number of waiting requests.
+        size_bytes: Total size of their bodies in bytes.
     """
 
     waiting: int = 0
@@ -92,16 +92,17 @@
 
 
 class WaitingQueue:
-    """The waiting requests of one service.
+    """The waiting requests of one service, in weighted fair order.
 
-    A team below its fair share of the slots goes before one above it;
-    among equals the urgent go first, then the team with the fewest in
-    flight for its weight, then the earliest deadline. Slots that a team
-    does not use are lent to the others.
+    A team below its fair share of the slots precedes a team at or above
+    its share. Ties are resolved by urgent requests first, then by the
+    fewest requests in flight relative to the team's weight, then by the
+    earliest deadline. Other teams may use the slots that a team leaves
+    unused.
 
     Args:
         weights: Weight of each calling team.
-        usage: Usage of the room that the queue is part of.
+        usage: Usage of the pool that the queue is part of.
     """
 
     __slots__ = ("_shares", "_usage", "_weights", "waiting")
@@ -116,9 +117,10 @@
         return self.waiting
 
     def share(self, request: requests.Request) -> TeamShare:
-        """Return the share from which a request is served."""
+        """Return the team share that a request is charged to."""
         if not request.share:
-            # Once and for all: the weights may change while it is in flight.
+            # Stored in the request, so that it is charged to the same share
+            # even if the weights change while it is in flight.
             caller = request.caller or request.team
             request.share = caller if caller in self._weights else OTHER_TEAMS
         name = request.share
@@ -130,33 +132,35 @@
         return found
 
     def shares(self) -> list[TeamShare]:
-        """Return the shares of all teams seen."""
+        """Return the shares of all teams that have sent requests."""
         return list(self._shares.values())
 
     def refresh_weights(self) -> None:
-        """Use the weights as they are now."""
+        """Apply the current weights to all shares."""
         for share in self._shares.values():
             share.weight = self._weights.get(share.name, DEFAULT_WEIGHT)
 
     def add(self, waiter: Waiter) -> None:
-        """Let a request wait."""
+        """Add a request to the queue."""
         self.share(waiter.request).waiters.add(waiter)
         self.waiting += 1
         self._usage.waiting += 1
         self._usage.size_bytes += len(waiter.request.body)
 
     def remove(self, waiter: Waiter) -> None:
-        """Take a request out."""
+        """Remove a request from the queue."""
         self.share(waiter.request).waiters.remove(waiter)
         self.waiting -= 1
         self._usage.waiting -= 1
         self._usage.size_bytes -= len(waiter.request.body)
 
     def head(self, *, slots: int) -> Waiter:
-        """Return the waiter that gets the next slot; one must wait.
+        """Return the request that gets the next slot.
+
+        The queue must not be empty.
 
         Args:
-            slots: Slots of the service in this entry host.
+            slots: Number of slots of the service in this entry host.
         """
         waiting_shares = [s for s in self._shares.values() if s.waiters]
         if len(waiting_shares) == 1:
@@ -176,13 +180,13 @@
         return min(waiting_shares, key=_rank).waiters[0]
 
     def ahead(self, request: requests.Request) -> float:
-        """Return how many waiters would get a slot before a request.
+        """Estimate how many waiting requests get a slot before another.
 
-        While its own team's earlier ones are served, the other teams
-        that wait are served by their weights.
+        While the earlier requests of its own team are served, the other
+        waiting teams are served in proportion to their weights.
 
         Args:
-            request: A request that does not wait yet.
+            request: A request that is not in the queue yet.
         """
         share = self.share(request)
         key = (not request.urgent, request.deadline_s, math.inf)
@@ -199,7 +203,11 @@
         return own + min(others, lent)
 
     def last(self) -> Waiter:
-        """Return the waiter that would be given up first."""
+        """Return the request to refuse first when the queue is full.
+
+        It has the lowest priority in the team with the most waiting
+        requests relative to its weight.
+        """
         fullest = max(
             self._shares.values(), key=lambda s: len(s.waiters) / s.weight
         )
@@ -210,13 +218,14 @@
 
 
 class WaitingRoom:
-    """Places for waiting requests, shared by the services of a host.
+    """Pool of the request queues of all services of an entry host.
 
-    It also keeps each team within its limit of requests in flight.
+    It bounds the number and size of the waiting requests, and enforces
+    each team's limit of requests in flight.
 
     Args:
-        places: Most requests that wait at once.
-        places_bytes: Most bytes of bodies that wait at once.
+        max_waiting: Maximum number of waiting requests.
+        max_waiting_bytes: Maximum total size of their bodies in bytes.
         weights: Weight of each team that owns services or calls them.
     """
 
@@ -257,11 +266,12 @@
         weights: typing.Mapping[str, float],
         limits: typing.Mapping[str, int],
     ) -> None:
-        """Take over other quotas, as a new configuration has them.
+        """Apply the quotas of a new configuration.
 
         Args:
             weights: Weight of each team that owns services or calls them.
-            limits: Most requests in flight to the services of a team.
+            limits: Maximum number of requests in flight to the services of
+                a team.
         """
         self.limits = dict(limits)
         self.weights.clear()
@@ -270,26 +280,29 @@
             queue.refresh_weights()
 
     def limit(self, team: str) -> float:
-        """Return how many requests to a team's services may be in flight."""
+        """Return the maximum of requests in flight to a team's services."""
         return self.limits.get(team, math.inf)
 
     def is_below_limit(self, team: str) -> bool:
-        """Tell whether a team is below its limit."""
+        """Return whether a team is below its limit."""
         return self._in_flight.get(team, 0) < self.limit(team)
 
     def take(self, team: str) -> None:
-        """Count one more request in flight."""
+        """Add one to the team's requests in flight."""
         self._in_flight[team] = self._in_flight.get(team, 0) + 1
 
     def give_back(self, team: str) -> None:
-        """Count one request in flight less."""
+        """Subtract one from the team's requests in flight."""
         self._in_flight[team] -= 1
 
     def remove_overflow(self) -> list[Waiter]:
-        """Take out what is over the places, from the fullest team first.
+        """Remove requests until the pool is within its bounds.
+
+        The team with the most waiting requests relative to its weight
+        loses requests first.
 
         Returns:
-            The waiters taken out; the caller refuses them.
+            The removed requests; the caller refuses them.
         """
         overflow = []
         while self._is_overfull():
