--- a/wisteriawood/tests/faults/request_proofs_tests.py
+++ b/wisteriawood/tests/faults/request_proofs_tests.py
@@ -1,4 +1,8 @@
-"""Each invariant fails with its mechanism off and holds with it on."""
+"""Checks that each request invariant depends on its mechanism.
+
+Each scenario runs twice: the invariant must fail with the mechanism
+disabled, and hold with it enabled.
+"""
 
 import contextlib
 import unittest
@@ -62,7 +66,7 @@
 class ProofTests(unittest.TestCase):
 
     def check_proof(self, invariant, scenario, *mechanisms):
-        """Play a scenario with mechanisms off, then on."""
+        """Run a scenario with mechanisms disabled, then enabled."""
         found = []
 
         async def _check(world):
@@ -70,13 +74,15 @@
             found.append(invariant(world))
 
         with contextlib.ExitStack() as stack:
-            for owner, name, instead in mechanisms:
-                stack.enter_context(mock.patch.object(owner, name, instead))
+            for owner, name, substitute in mechanisms:
+                stack.enter_context(mock.patch.object(owner, name, substitute))
             request_worlds.run(_check)
         request_worlds.run(_check)
-        off, on = found
-        self.assertNotEqual([], off, "holds with the mechanism off")
-        self.assertEqual([], on)
+        disabled, enabled = found
+        self.assertNotEqual(
+            [], disabled, "the invariant holds with the mechanism disabled"
+        )
+        self.assertEqual([], enabled)
 
     def check_cell(self, invariant, fault, step, *mechanisms):
         async def _scenario(world):
@@ -84,7 +90,7 @@
 
         self.check_proof(invariant, _scenario, *mechanisms)
 
-    def test_late_target_keeps_its_slots(self):
+    def test_slot_of_late_target_stays_quarantined(self):
         self.check_cell(
             request_invariants.slots_kept,
             "target answers late, after the deadline",
@@ -92,7 +98,7 @@
             (targets.Target, "give_back", _release_at_once),
         )
 
-    def test_successor_counts_the_unanswered(self):
+    def test_new_grantor_waits_for_all_slot_reports(self):
         self.check_cell(
             request_invariants.slots_kept,
             "two: grantor killed, entry host cut from its successor",
@@ -100,7 +106,7 @@
             (slot_books.SlotBook, "is_counted", lambda book: True),
         )
 
-    def test_broken_term_takes_nothing_back(self):
+    def test_grantor_with_interrupted_term_reclaims_no_slots(self):
         async def _scenario(world):
             await anyio.sleep(2.5)
             grantor = world.grantor_process().name
@@ -136,7 +142,7 @@
             ),
         )
 
-    def test_answers_of_others_reach_nobody(self):
+    def test_answer_to_another_request_is_rejected(self):
         self.check_cell(
             request_invariants.own_answers,
             "target answers out of order",
@@ -144,7 +150,7 @@
             (target_links.HttpTarget, "_to_answer", _take_any_answer),
         )
 
-    def test_not_run_is_said_of_none_that_ran(self):
+    def test_request_that_ran_is_not_reported_as_not_run(self):
         self.check_cell(
             request_invariants.not_run_is_true,
             "target answers half",
@@ -152,7 +158,7 @@
             (dispatchers.FailedAttempts, "outcome", _claim_not_run),
         )
 
-    def test_repeated_key_runs_once(self):
+    def test_request_with_repeated_key_runs_once(self):
         self.check_cell(
             request_invariants.once_at_most,
             "target answers half",
@@ -160,7 +166,7 @@
             (run_once.RunOnce, "serve", _run_again),
         )
 
-    def test_leaving_target_gets_nothing_new(self):
+    def test_leaving_target_gets_no_new_requests(self):
         self.check_cell(
             request_invariants.leaving_left_alone,
             "target leaving",
@@ -168,7 +174,7 @@
             (racks.Rack, "see_target", _ignore_leaving),
         )
 
-    def test_drain_cuts_nothing(self):
+    def test_drain_interrupts_no_requests(self):
         self.check_cell(
             request_invariants.drain_cuts_nothing,
             "entry host drained",
--- a/wisteriawood/tests/path_tests.py
+++ b/wisteriawood/tests/path_tests.py
@@ -1,4 +1,4 @@
-"""The whole path in virtual time."""
+"""End-to-end tests of requests and jobs in virtual time."""
 
 import unittest
 from unittest import mock
@@ -49,7 +49,7 @@
 
         builders.run_world(_check)
 
-    def test_target_of_host_list_is_granted_within_its_slots(self):
+    def test_target_of_host_list_gets_no_more_requests_than_slots(self):
         async def _check(world):
             target = world.add_target(
                 builders.make_target_host(), service_s=1.0
@@ -82,7 +82,7 @@
 
         builders.run_world(_check)
 
-    def test_scheduler_without_rack_leaves_tasks_to_the_other(self):
+    def test_tasks_finish_when_one_scheduler_has_no_rack(self):
         async def _check(world):
             world.add_worker(builders.make_worker_host())
             for name in ("linz-a-1", "linz-a-2"):
@@ -98,7 +98,7 @@
 
         builders.run_world(_check)
 
-    def test_slow_instance_is_told_to_the_scheduler(self):
+    def test_slow_instance_is_reported_to_the_scheduler(self):
         async def _check(world):
             for number in range(1, 5):
                 world.add_worker(
@@ -124,7 +124,7 @@
                 for number in range(200):
                     await entry.serve(builders.make_request(id=str(number)))
                 await anyio.sleep(2)
-            told = {call.args[0] for call in observe.call_args_list}
-            self.assertEqual({"service-0"}, told)
+            reported = {call.args[0] for call in observe.call_args_list}
+            self.assertEqual({"service-0"}, reported)
 
         builders.run_world(_check)
--- a/wisteriawood/tests/run_once_tests.py
+++ b/wisteriawood/tests/run_once_tests.py
@@ -1,4 +1,4 @@
-"""Run-once requests: keys, stored answers and outages of the table."""
+"""Run-once requests: keys, stored answers and table outages."""
 
 import unittest
 
@@ -34,7 +34,7 @@
 
 class RunOnceTests(unittest.TestCase):
 
-    def test_repeat_elsewhere_gets_stored_answer(self):
+    def test_repeat_at_another_entry_host_gets_stored_answer(self):
         async def _check(world):
             target, entries = await _zone(world)
             for size_bytes in (5, run_once.MAX_ROW_BODY_BYTES + 1):
@@ -54,7 +54,7 @@
 
         builders.run_world(_check)
 
-    def test_key_of_another_request_is_refused(self):
+    def test_key_reused_for_another_request_is_refused(self):
         async def _check(world):
             _target, entries = await _zone(world)
             await entries[0].serve(_request(id="1", body=b"one"))
@@ -64,7 +64,7 @@
 
         builders.run_world(_check)
 
-    def test_table_down_is_not_run_at_once(self):
+    def test_request_is_refused_at_once_while_table_is_down(self):
         async def _check(world):
             target, entries = await _zone(world)
             world.platform.faults.down = True
@@ -77,7 +77,7 @@
 
         builders.run_world(_check)
 
-    def test_late_claim_frees_its_key(self):
+    def test_claim_stored_after_its_timeout_releases_the_key(self):
         async def _check(world):
             target, entries = await _zone(world)
             world.platform.faults.slow_s = 3.0
--- a/wisteriawood/tests/services_tests.py
+++ b/wisteriawood/tests/services_tests.py
@@ -1,4 +1,4 @@
-"""Admission: who gets the next slot, and who is refused."""
+"""Admission of requests: order of slots, refusals and ejected targets."""
 
 import contextlib
 import math
@@ -20,7 +20,7 @@
         self.refusals = []
 
     async def _serve(self, service, request, *, service_s=1.0):
-        """Hold a slot for some time, and note when it was given."""
+        """Hold a slot for some time, and record the order of acquisition."""
         try:
             target = await service.acquire(request)
         except errors.RequestNotRunError as exc:
@@ -47,7 +47,7 @@
         for _ in range(64):
             service.times.observe(latency_s)
 
-    def test_earliest_deadline_goes_first_and_urgent_before_it(self):
+    def test_urgent_requests_precede_the_earliest_deadline(self):
         async def _check():
             target = builders.make_target(slots=1)
             service = builders.make_service(targets=[target])
@@ -65,7 +65,7 @@
         builders.run_virtual(_check)
         self.assertEqual(["first", "urgent", "early", "late"], self.order)
 
-    def test_flooding_team_leaves_others_their_share(self):
+    def test_flooding_team_does_not_use_the_share_of_others(self):
         async def _check():
             room = builders.make_room(weights={"flood": 1.0, "calm": 1.0})
             target = builders.make_target(slots=2)
@@ -89,10 +89,10 @@
 
         builders.run_virtual(_check)
         calm = [n for n, id in enumerate(self.order) if id[:4] == "calm"]
-        # Half of the slots are its own from the first release on.
+        # From the first release on, half of the slots go to the calm team.
         self.assertLessEqual(max(calm), 2 + 2 * 10)
 
-    def test_full_room_gives_up_waiters_of_the_fullest_team(self):
+    def test_full_queue_refuses_the_team_with_most_waiting_requests(self):
         async def _check():
             weights = {"vitrinenklima": 1.0, "kroupa": 1.0}
             room = builders.make_room(max_waiting=10, weights=weights)
@@ -121,7 +121,7 @@
         builders.run_virtual(_check)
         self.assertTrue(all(id[:5] == "flood" for id, _ in self.refusals))
 
-    def test_new_weights_count_what_is_in_flight_where_it_was(self):
+    def test_request_in_flight_keeps_its_share_when_weights_change(self):
         async def _check():
             room = builders.make_room()
             target = builders.make_target(slots=1)
@@ -152,7 +152,7 @@
             ]
             async with anyio.create_task_group() as group:
                 for service in found:
-                    group.start_soon(self._tend, service)
+                    group.start_soon(self._tick_forever, service)
                 for number in range(10):
                     request = builders.make_request(
                         id=str(number), deadline_s=math.inf
@@ -170,7 +170,7 @@
         builders.run_virtual(_check)
         self.assertEqual(10, len(self.order))
 
-    def test_quotas_of_an_accepted_configuration_are_in_force(self):
+    def test_quotas_of_an_accepted_configuration_are_applied(self):
         async def _check(world):
             entry = builders.add_entries(world, ["linz-a-1"])["linz-a-1"]
             await anyio.sleep(2)
@@ -187,7 +187,7 @@
 
         builders.run_world(_check)
 
-    def test_bodies_that_wait_are_bounded(self):
+    def test_size_of_waiting_bodies_is_bounded(self):
         async def _check():
             room = builders.make_room(max_waiting_bytes=1000)
             service = builders.make_service(room=room)
@@ -223,7 +223,7 @@
         for _id, exc in self.refusals:
             self.assertGreaterEqual(exc.retry_after_s, 1.0)
 
-    def test_deadline_that_passes_in_the_queue_is_not_run(self):
+    def test_request_whose_deadline_passes_in_the_queue_is_not_run(self):
         async def _check():
             target = builders.make_target(slots=1)
             service = builders.make_service(targets=[target])
@@ -239,7 +239,7 @@
         self.assertEqual(["a"], self.order)
         self.assertEqual(["b"], [id for id, _exc in self.refusals])
 
-    def test_caller_that_leaves_the_queue_frees_its_place(self):
+    def test_cancelled_request_is_removed_from_the_queue(self):
         async def _check():
             target = builders.make_target(slots=1)
             service = builders.make_service(targets=[target])
@@ -253,7 +253,7 @@
 
         builders.run_virtual(_check)
 
-    def test_slot_given_to_a_caller_that_leaves_goes_to_the_next(self):
+    def test_slot_assigned_to_a_cancelled_request_goes_to_the_next(self):
         async def _check():
             target = builders.make_target(slots=1)
             service = builders.make_service(targets=[target])
@@ -280,7 +280,7 @@
         builders.run_virtual(_check)
         self.assertEqual(["next"], self.order)
 
-    def test_one_waiter_is_woken_for_each_slot(self):
+    def test_one_waiting_request_is_woken_for_each_slot(self):
         async def _check():
             target = builders.make_target(slots=1)
             service = builders.make_service(targets=[target])
@@ -299,7 +299,7 @@
 
         builders.run_virtual(_check)
 
-    def test_frozen_target_is_taken_out_and_brought_back(self):
+    def test_frozen_target_is_ejected_and_readmitted(self):
         async def _check():
             frozen = builders.make_target(id="frozen")
             good = builders.make_target(id="good")
@@ -308,7 +308,7 @@
             self._learn(service, latency_s=0.01)
             dispatcher = builders.make_dispatcher(service)
             async with anyio.create_task_group() as group:
-                group.start_soon(self._tend, service)
+                group.start_soon(self._tick_forever, service)
                 for number in range(400):
                     await anyio.sleep(0.01)
                     with contextlib.suppress(errors.RequestUnknownError):
@@ -326,14 +326,14 @@
 
         builders.run_virtual(_check)
 
-    async def _tend(self, service):
+    async def _tick_forever(self, service):
         while True:
             await anyio.sleep(0.1)
             for target in service.targets.values():
                 target.end_quarantines(now_s=anyio.current_time())
             service.tend()
 
-    def test_frozen_target_costs_no_answer_and_no_slot_too_many(self):
+    def test_frozen_target_loses_no_answer_and_no_slot_is_exceeded(self):
         async def _check(world):
             frozen, good = (
                 world.add_target(
@@ -358,7 +358,7 @@
         self.assertEqual(300, len(self.order))
 
     async def _call(self, entry, count):
-        """Send requests to the whole path, and note who is answered."""
+        """Send requests to an entry host, and record those answered."""
 
         async def _send(request):
             await entry.serve(request)
