--- a/wisteriawood/machines/entry_hosts.py
+++ b/wisteriawood/machines/entry_hosts.py
@@ -28,7 +28,7 @@
 from wisteriawood.zones import membership
 from wisteriawood.zones import peering
 
-TEND_PERIOD_S = 0.25
+TICK_PERIOD_S = 0.25
 GONE_ROW_TIMEOUT_S = 3.0
 
 _LOG = events.Logger(name=__name__)
@@ -189,11 +189,11 @@
     async def _finish_requests(self) -> None:
         with anyio.move_on_after(slot_clients.RELEASE_TIMEOUT_S):
             while self._open_requests:
-                await anyio.sleep(TEND_PERIOD_S)
+                await anyio.sleep(TICK_PERIOD_S)
 
     async def _tick_services(self) -> None:
         while True:
-            await anyio.sleep(TEND_PERIOD_S)
+            await anyio.sleep(TICK_PERIOD_S)
             for service in self.services.values():
                 service.tend()
             self._set_gauges()
--- a/wisteriawood/machines/run_once.py
+++ b/wisteriawood/machines/run_once.py
@@ -18,7 +18,7 @@
 from wisteriawood.telemetry import events
 from wisteriawood.zones import membership
 
-RETENTION_S = 24 * 3600.0
+RECORD_RETENTION_S = 24 * 3600.0
 CLAIM_TIMEOUT_S = 2.0
 STORE_TIMEOUT_S = 1.0
 SHUTDOWN_STORE_TIMEOUT_S = 10.0
@@ -27,7 +27,7 @@
 REPEAT_POLL_PERIOD_S = 0.5
 REPEAT_MARGIN_S = 0.1
 SWEEP_PERIOD_S = 30.0
-SWEEP_ROWS = 100
+SWEEP_PAGE_ROWS = 100
 MAX_ROW_BODY_BYTES = 16 * 1024
 
 _LOG = events.Logger(name=__name__)
@@ -156,7 +156,7 @@
             owner=self._members.own.incarnation,
             digest=runonce.digest(request),
             until_unix_s=now_unix_s + left_s,
-            expires_unix_s=now_unix_s + RETENTION_S,
+            expires_unix_s=now_unix_s + RECORD_RETENTION_S,
         )
         claim = Claim(
             row_key=keys.run_once(request.team, request.key), record=record
@@ -355,7 +355,7 @@
             The last key of the page; empty after the last page.
         """
         page = await self._platform.scan(
-            keys.run_onces(), after=after, limit=SWEEP_ROWS
+            keys.run_onces(), after=after, limit=SWEEP_PAGE_ROWS
         )
         for row in page:
             record = rows.from_value(row.value, runonce.RunOnceRecord)
@@ -364,7 +364,7 @@
                     row_key=row.key, record=record, version=row.version
                 )
                 await self._delete_record(claim)
-        return page[-1].key if len(page) == SWEEP_ROWS else ""
+        return page[-1].key if len(page) == SWEEP_PAGE_ROWS else ""
 
 
 def _key_not_checked() -> errors.RequestNotRunError:
--- a/wisteriawood/machines/service_times.py
+++ b/wisteriawood/machines/service_times.py
@@ -34,10 +34,10 @@
         if len(self._window) > WINDOW_SIZE:
             self._sum_s -= self._window.popleft()
         self._count += 1
-        if self.is_known() and self._count % REFRESH_INTERVAL == 0:
+        if self.has_estimate() and self._count % REFRESH_INTERVAL == 0:
             self._refresh()
 
-    def is_known(self) -> bool:
+    def has_estimate(self) -> bool:
         """Return whether enough answers were observed for an estimate."""
         return self._count >= MIN_OBSERVED
 
--- a/wisteriawood/machines/services.py
+++ b/wisteriawood/machines/services.py
@@ -138,7 +138,7 @@
         if not self._queue:
             target = self._choose(request, tried, queued=1)
             if target is not None:
-                return self._take(request, target)
+                return self._occupy_slot(request, target)
         waiter = waiting_rooms.Waiter(request=request, tried=tried)
         self._admit(waiter)
         left_s = max(0.0, request.deadline_s - anyio.current_time())
@@ -193,7 +193,7 @@
             if target is None:
                 return
             self._queue.remove(waiter)
-            waiter.assign(self._take(waiter.request, target))
+            waiter.assign(self._occupy_slot(waiter.request, target))
 
     def tend(self) -> None:
         """Run periodic work; called several times a second."""
@@ -319,7 +319,7 @@
             free.remove(target)
         return None
 
-    def _take(
+    def _occupy_slot(
         self, request: requests.Request, target: targets.Target
     ) -> targets.Target:
         target.take()
@@ -346,7 +346,7 @@
     def _expected_wait_s(self, request: requests.Request) -> float:
         """Return the expected wait of a request for a slot in seconds."""
         slots = self.slots()
-        if not slots or not self.times.is_known():
+        if not slots or not self.times.has_estimate():
             return 0.0
         ahead = self._queue.ahead(request)
         return (ahead + 1) * self.times.mean_s() / slots
--- a/wisteriawood/machines/slot_clients.py
+++ b/wisteriawood/machines/slot_clients.py
@@ -32,7 +32,7 @@
 DEMAND_KEPT = 0.8
 # Must exceed the longest deadline that a caller may request.
 RELEASE_TIMEOUT_S = 65.0
-MAX_CONNECTIONS = 256
+MAX_TARGET_CONNECTIONS = 256
 
 _LOG = events.Logger(name=__name__)
 
@@ -329,7 +329,7 @@
         self, rack: held_racks.HeldRack, grant: grants.SlotGrant
     ) -> targets.Target:
         inner = self._dial_target(
-            address=grant.address, connections=MAX_CONNECTIONS
+            address=grant.address, connections=MAX_TARGET_CONNECTIONS
         )
         target = targets.Target(
             grant=grant, grantor=rack.grantor.name, link=inner
--- a/wisteriawood/tests/faults/request_proofs_tests.py
+++ b/wisteriawood/tests/faults/request_proofs_tests.py
@@ -24,22 +24,22 @@
 from wisteriawood.tests.faults import request_worlds
 from wisteriawood.tests.faults import requests_tests
 
-LONG_S = 85.0
+LOAD_DURATION_S = 85.0
 
 
 def _release_at_once(target, *, is_done, until_s):
     target.in_flight -= 1
 
 
-async def _run_again(_run_once, request, dispatch):
+async def _dispatch_without_claim(_run_once, request, dispatch):
     return await dispatch(request)
 
 
-def _claim_not_run(_attempts, exc):
+def _always_not_run(_attempts, exc):
     return errors.RequestNotRunError(reason=str(exc))
 
 
-def _take_any_answer(_link, request, response, body):
+def _accept_any_answer(_link, request, response, body):
     response.headers[target_links.REQUEST_ID_HEADER] = request.id
     return _ORIGINAL_TO_ANSWER(_link, request, response, body)
 
@@ -59,7 +59,7 @@
 _ORIGINAL_UPDATE_TARGET = racks.Rack.see_target
 
 
-async def _wait_for_nothing(*_args):
+async def _skip_wait(*_args):
     return True
 
 
@@ -116,7 +116,7 @@
             entry = f"entry/{request_worlds.ENTRIES[0]}"
             world.cut(entry, grantor)
             world.cut(grantor, "platform")
-            until_s = anyio.current_time() + LONG_S
+            until_s = anyio.current_time() + LOAD_DURATION_S
             async with anyio.create_task_group() as group:
                 for number in range(12):
                     name = request_worlds.ENTRIES[number % 2]
@@ -147,7 +147,7 @@
             request_invariants.own_answers,
             "target answers out of order",
             "sent",
-            (target_links.HttpTarget, "_to_answer", _take_any_answer),
+            (target_links.HttpTarget, "_to_answer", _accept_any_answer),
         )
 
     def test_request_that_ran_is_not_reported_as_not_run(self):
@@ -155,7 +155,7 @@
             request_invariants.not_run_is_true,
             "target answers half",
             "sent",
-            (dispatchers.FailedAttempts, "outcome", _claim_not_run),
+            (dispatchers.FailedAttempts, "outcome", _always_not_run),
         )
 
     def test_request_with_repeated_key_runs_once(self):
@@ -163,7 +163,7 @@
             request_invariants.once_at_most,
             "target answers half",
             "sent",
-            (run_once.RunOnce, "serve", _run_again),
+            (run_once.RunOnce, "serve", _dispatch_without_claim),
         )
 
     def test_leaving_target_gets_no_new_requests(self):
@@ -179,6 +179,6 @@
             request_invariants.drain_cuts_nothing,
             "entry host drained",
             "half answered",
-            (entry_hosts.EntryHost, "_finish_requests", _wait_for_nothing),
-            (slot_clients.SlotClient, "release", _wait_for_nothing),
+            (entry_hosts.EntryHost, "_finish_requests", _skip_wait),
+            (slot_clients.SlotClient, "release", _skip_wait),
         )
--- a/wisteriawood/tests/services_tests.py
+++ b/wisteriawood/tests/services_tests.py
@@ -43,7 +43,7 @@
                 )
                 await anyio.sleep(0.0001)
 
-    def _learn(self, service, *, latency_s):
+    def _observe_latency(self, service, *, latency_s):
         for _ in range(64):
             service.times.observe(latency_s)
 
@@ -208,7 +208,7 @@
             service = builders.make_service(
                 targets=[builders.make_target(slots=1)]
             )
-            self._learn(service, latency_s=1.0)
+            self._observe_latency(service, latency_s=1.0)
             started_s = anyio.current_time()
             async with anyio.create_task_group() as group:
                 for number in range(10):
@@ -305,7 +305,7 @@
             good = builders.make_target(id="good")
             frozen.link.is_frozen = True
             service = builders.make_service(targets=[frozen, good])
-            self._learn(service, latency_s=0.01)
+            self._observe_latency(service, latency_s=0.01)
             dispatcher = builders.make_dispatcher(service)
             async with anyio.create_task_group() as group:
                 group.start_soon(self._tick_forever, service)
@@ -344,20 +344,20 @@
             world.add_scheduler(builders.make_member())
             entry = builders.add_entries(world, ["linz-a-1"])["linz-a-1"]
             await anyio.sleep(10)
-            await self._call(entry, 100)
+            await self._send_requests(entry, 100)
             frozen.faults.frozen = True
             started = frozen.counts.started
-            await self._call(entry, 100)
+            await self._send_requests(entry, 100)
             frozen.faults.frozen = False
             caught = frozen.counts.started - started
             self.assertTrue(0 < caught <= 8, caught)
-            await self._call(entry, 100)
+            await self._send_requests(entry, 100)
             self.assertEqual(0, frozen.counts.breaches + good.counts.breaches)
 
         builders.run_world(_check)
         self.assertEqual(300, len(self.order))
 
-    async def _call(self, entry, count):
+    async def _send_requests(self, entry, count):
         """Send requests to an entry host, and record those answered."""
 
         async def _send(request):
