--- a/wisteriawood/machines/dispatchers.py
+++ b/wisteriawood/machines/dispatchers.py
@@ -1,4 +1,4 @@
-"""Dispatching: a request's way from the queue to a target and back."""
+"""Dispatching: sends requests to targets and retries failed attempts."""
 
 import dataclasses
 
@@ -11,12 +11,12 @@
 from wisteriawood.machines import targets
 from wisteriawood.telemetry import spans
 
-TIMEOUT_FACTOR = 2.0
-WHOLE_TIMEOUT = 0.99
+FAILURE_P99_FACTOR = 2.0
+FULL_TIMEOUT_SHARE = 0.99
 
 
-class Attempts:
-    """Attempts of one request that have failed."""
+class FailedAttempts:
+    """Failed attempts of one request."""
 
     __slots__ = ("failures", "tried", "unknown")
 
@@ -29,8 +29,8 @@
         """Record a failed attempt.
 
         Args:
-            target: Target that failed it.
-            exc: How it failed.
+            target: Target where the attempt failed.
+            exc: The failure.
         """
         self.failures += 1
         self.tried |= {target.id}
@@ -38,10 +38,12 @@
             self.unknown = exc
 
     def outcome(self, exc: errors.RequestError) -> errors.RequestError:
-        """Return what the caller is told: not-run only if none ran.
+        """Return the error for the caller.
+
+        It is a RequestNotRunError only if no attempt can have run.
 
         Args:
-            exc: The newest failure.
+            exc: The latest failure.
         """
         return self.unknown or exc
 
@@ -51,7 +53,7 @@
 
     Args:
         services: Services of the entry host, by team and name.
-        tracer: Makes the spans.
+        tracer: Creates the spans.
     """
 
     __slots__ = ("_services", "_tracer")
@@ -66,23 +68,23 @@
         self._tracer = tracer
 
     async def dispatch(self, request: requests.Request) -> requests.Answer:
-        """Have a target run a request, and retry where that is safe.
+        """Send a request to a target, and retry where that is safe.
 
-        A request that no target can have acted on is retried whatever its
-        class; one whose outcome is unknown only if it is repeatable.
+        A request that no target can have run is retried whatever its
+        class; a request with an unknown outcome only if it is repeatable.
 
         Args:
             request: The request.
 
         Returns:
-            The whole answer of a target.
+            The complete answer of a target.
 
         Raises:
             RequestNotRunError: No target has run it.
             RequestUnknownError: A target may have run it.
         """
         service = self._find(request)
-        attempts = Attempts()
+        attempts = FailedAttempts()
         while True:
             try:
                 target = await service.acquire(request, tried=attempts.tried)
@@ -133,7 +135,7 @@
             raise
         except errors.RequestUnknownError:
             waited_s = anyio.current_time() - sent_s
-            ending.verdict = _judge_silence(service, waited_s, timeout_s)
+            ending.verdict = _timeout_verdict(service, waited_s, timeout_s)
             raise
         finally:
             service.release(target, request, ending)
@@ -169,12 +171,17 @@
     return request.request_class == requests.RequestClass.REPEATABLE
 
 
-def _judge_silence(
+def _timeout_verdict(
     service: services.Service, waited_s: float, timeout_s: float
 ) -> outliers.Verdict:
-    """Tell a target's fault from a deadline too short for the request."""
-    if waited_s < WHOLE_TIMEOUT * timeout_s:
+    """Return the verdict on a target that did not answer an attempt.
+
+    An attempt that used its whole timeout counts as a failure of the
+    target only if the timeout was long compared with the service's p99;
+    otherwise the deadline may have been too short for the request.
+    """
+    if waited_s < FULL_TIMEOUT_SHARE * timeout_s:
         return outliers.Verdict.FAILED
-    if waited_s > TIMEOUT_FACTOR * service.times.p99_s:
+    if waited_s > FAILURE_P99_FACTOR * service.times.p99_s:
         return outliers.Verdict.FAILED
     return outliers.Verdict.UNTOLD
--- a/wisteriawood/machines/entry_hosts.py
+++ b/wisteriawood/machines/entry_hosts.py
@@ -1,4 +1,4 @@
-"""The entry host: takes callers' requests and routes them to targets."""
+"""The entry host: accepts callers' requests and routes them to targets."""
 
 import random
 import typing
@@ -28,8 +28,8 @@
 from wisteriawood.zones import membership
 from wisteriawood.zones import peering
 
-TEND_PERIOD_S = 0.25
-GOODBYE_TIMEOUT_S = 3.0
+TICK_PERIOD_S = 0.25
+GONE_ROW_TIMEOUT_S = 3.0
 
 _LOG = events.Logger(name=__name__)
 
@@ -41,19 +41,19 @@
         platform: Link to the platform.
         member: Own member row.
         counters: Metrics of the daemon.
-        tracer: Makes the spans.
+        tracer: Creates the spans.
         rng: Source of random numbers.
         dial_peer: Opens the channel to the peer at an address.
         dial_target: Opens the link to the target at an address.
         policy: Name of the routing policy.
-        peer_addresses: Further peers to dial, as host:port.
+        peer_addresses: Additional peers to dial, as host:port.
     """
 
     __slots__ = (
         "_dispatcher",
         "_policy",
         "_run_once",
-        "_serving",
+        "_open_requests",
         "_rng",
         "configuration",
         "counters",
@@ -95,8 +95,8 @@
             dial_peer=dial_peer,
             dial_target=dial_target,
             get_service=self.service,
-            on_late_answer=self._take_late_answer,
-            get_usual_s=self._usual_deadline_s,
+            on_late_answer=self._store_late_answer,
+            get_longest_deadline_s=self._longest_deadline_s,
         )
         self.targets = self.slot_client.targets
         self._run_once = run_once.RunOnce(
@@ -109,7 +109,7 @@
             services=self.services, tracer=tracer
         )
         self._policy = policy
-        self._serving = 0
+        self._open_requests = 0
         self._rng = rng
         self.room = waiting_rooms.WaitingRoom()
 
@@ -139,7 +139,7 @@
         if self.is_draining:
             return "draining"
         if self.drains.is_ordered(self.membership.own.name):
-            return "draining: an operator has ordered it"
+            return "draining: requested by an operator"
         if self.configuration.not_ready():
             return self.configuration.not_ready()
         if not self.targets:
@@ -147,14 +147,17 @@
         return ""
 
     async def run(self) -> None:
-        """Follow the schedulers of the zone until the daemon stops."""
+        """Run the tasks of the entry host until the daemon stops.
+
+        On stopping, finish the requests and release the slots first.
+        """
         async with anyio.create_task_group() as group:
             group.start_soon(self.membership.run)
             group.start_soon(self.peering.run)
             group.start_soon(self.configuration.run)
             group.start_soon(self.drains.run)
             group.start_soon(self.slot_client.run)
-            group.start_soon(self._tend_services)
+            group.start_soon(self._tick_services)
             group.start_soon(self._follow_quotas)
             group.start_soon(self._run_once.run)
             await self.stopping.wait()
@@ -163,7 +166,7 @@
             await self._run_once.settle()
             group.cancel_scope.cancel()
         if is_released:
-            await self._say_gone()
+            await self._publish_gone()
         self.stopped.set()
 
     async def _follow_quotas(self) -> None:
@@ -185,12 +188,12 @@
 
     async def _finish_requests(self) -> None:
         with anyio.move_on_after(slot_clients.RELEASE_TIMEOUT_S):
-            while self._serving:
-                await anyio.sleep(TEND_PERIOD_S)
+            while self._open_requests:
+                await anyio.sleep(TICK_PERIOD_S)
 
-    async def _tend_services(self) -> None:
+    async def _tick_services(self) -> None:
         while True:
-            await anyio.sleep(TEND_PERIOD_S)
+            await anyio.sleep(TICK_PERIOD_S)
             for service in self.services.values():
                 service.tend()
             self._set_gauges()
@@ -201,29 +204,29 @@
         self.counters.in_flight.set(sum(t.in_flight for t in held))
         self.counters.slots_held.set(sum(t.grant.slots for t in held))
 
-    async def _say_gone(self) -> None:
-        """Tell the table that all slots have been returned."""
+    async def _publish_gone(self) -> None:
+        """Write to the member row that all slots have been released."""
         self.membership.own.state = holdings.HostState.GONE
-        with anyio.move_on_after(GOODBYE_TIMEOUT_S):
+        with anyio.move_on_after(GONE_ROW_TIMEOUT_S):
             try:
                 await self.membership.renew()
             except errors.PlatformError as exc:
                 _LOG.log(events.PLATFORM_LOST, reason=str(exc))
 
-    def _usual_deadline_s(self) -> float:
+    def _longest_deadline_s(self) -> float:
         """Return the longest deadline that the configuration gives."""
         if self.configuration.not_ready():
             return requests.LONGEST_REQUEST_S
         return self.configuration.current.longest_deadline_s()
 
-    def _take_late_answer(
+    def _store_late_answer(
         self, request: requests.Request, answer: requests.Answer
     ) -> None:
-        """Take an answer whose caller has left."""
-        self._run_once.take_late_answer(request, answer)
+        """Store an answer whose caller no longer waits."""
+        self._run_once.store_late_answer(request, answer)
 
     def service(self, team: str, name: str) -> services.Service:
-        """Return a service of a team, made at the first call."""
+        """Return a service of a team; it is created at the first call."""
         service = self.services.get((team, name))
         if service is None:
             policy = base.ROUTING.get(self._policy)(rng=self._rng)
@@ -244,7 +247,7 @@
             request: The request.
 
         Returns:
-            The whole answer of a target.
+            The complete answer of a target.
 
         Raises:
             RequestNotRunError: No target has run it.
@@ -276,11 +279,11 @@
         return answer
 
     async def _run(self, request: requests.Request) -> requests.Answer:
-        self._serving += 1
+        self._open_requests += 1
         try:
             return await self._run_by_class(request)
         finally:
-            self._serving -= 1
+            self._open_requests -= 1
 
     async def _run_by_class(
         self, request: requests.Request
@@ -296,7 +299,7 @@
         self.counters.requests.labels(label, outcome).inc()
 
     def status(self) -> dict[str, typing.Any]:
-        """Return what operators see of this entry host."""
+        """Return the status that operators see."""
         return {
             "member": self.membership.own,
             "ready": self.not_ready() or "ready",
--- a/wisteriawood/machines/run_once.py
+++ b/wisteriawood/machines/run_once.py
@@ -1,4 +1,4 @@
-"""Run-once requests: at most one run of each key, whoever dies."""
+"""Run-once requests: at most one run of each key despite failures."""
 
 import dataclasses
 import time
@@ -18,16 +18,16 @@
 from wisteriawood.telemetry import events
 from wisteriawood.zones import membership
 
-RETENTION_S = 24 * 3600.0
+RECORD_RETENTION_S = 24 * 3600.0
 CLAIM_TIMEOUT_S = 2.0
 STORE_TIMEOUT_S = 1.0
-SETTLE_TIMEOUT_S = 10.0
+SHUTDOWN_STORE_TIMEOUT_S = 10.0
 RETRY_AFTER_S = 2.0
 RETRY_PERIOD_S = 0.5
-REPEAT_PERIOD_S = 0.5
+REPEAT_POLL_PERIOD_S = 0.5
 REPEAT_MARGIN_S = 0.1
 SWEEP_PERIOD_S = 30.0
-SWEEP_ROWS = 100
+SWEEP_PAGE_ROWS = 100
 MAX_ROW_BODY_BYTES = 16 * 1024
 
 _LOG = events.Logger(name=__name__)
@@ -39,15 +39,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class Claim:
-    """A key that this process claims for one request.
+    """A claim of this process to an idempotency key, for one request.
 
     Attributes:
         row_key: Key of the record's row.
         record: The record.
-        version: Version of the row; 0 while it is not claimed.
-        error: Why it was not claimed.
-        is_left: Whether nobody waits for the claim any more.
-        done: Set once the claim has an end.
+        version: Version of the row; 0 while the key is not claimed.
+        error: Why the key could not be claimed; None without an error.
+        is_left: Whether no caller waits for the claim any more.
+        done: Set once the claim has succeeded or failed.
     """
 
     row_key: str
@@ -59,21 +59,21 @@
 
 
 class RunOnce:
-    """Claims keys in the table and keeps the answers.
+    """Claims idempotency keys in the table and stores the answers.
 
     Args:
         platform: Link to the platform.
         members: Membership of the entry host.
-        wall_clock: Returns the wall time in seconds.
+        wall_clock: Returns the Unix time in seconds.
     """
 
     __slots__ = (
         "_commits",
         "_group",
         "_members",
-        "_open",
+        "_unanswered",
         "_platform",
-        "_storing",
+        "_pending_writes",
         "_wall_clock",
     )
 
@@ -89,20 +89,23 @@
         self._wall_clock = wall_clock
         self._commits = commits.GroupCommit(platform=platform)
         self._group: abc.TaskGroup | None = None
-        self._open: dict[str, Claim] = {}
-        self._storing = 0
+        self._unanswered: dict[str, Claim] = {}
+        self._pending_writes = 0
 
     async def run(self) -> None:
-        """Commit claims and answers, and remove expired ones, for ever."""
+        """Commit claims and answers, and delete expired ones.
+
+        Runs until cancelled.
+        """
         async with anyio.create_task_group() as group:
             self._group = group
             group.start_soon(self._commits.run)
             group.start_soon(self._sweep_forever)
 
     async def settle(self) -> None:
-        """Wait a while until the answers that are known are stored."""
-        with anyio.move_on_after(SETTLE_TIMEOUT_S):
-            while self._storing:
+        """Wait until pending writes are done, within a time limit."""
+        with anyio.move_on_after(SHUTDOWN_STORE_TIMEOUT_S):
+            while self._pending_writes:
                 await anyio.sleep(REPEAT_MARGIN_S)
 
     async def serve(
@@ -112,14 +115,14 @@
 
         Args:
             request: The request.
-            dispatch: Has a target run it.
+            dispatch: Sends the request to a target.
 
         Returns:
             The answer of the only run.
 
         Raises:
-            RequestNotRunError: This attempt has not run.
-            RequestUnknownError: A request of this key may have run.
+            RequestNotRunError: This attempt was not run.
+            RequestUnknownError: A request with this key may have run.
         """
         while True:
             claim = await self._claim(request, condition=0)
@@ -131,7 +134,9 @@
                 if found.expires_unix_s < self._wall_clock():
                     claim = await self._claim(request, condition=row.version)
                     continue
-                answer = await self._repeat(request, claim.record, found)
+                answer = await self._repeated_answer(
+                    request, claim.record, found
+                )
                 if answer is not None:
                     return answer
             if claim.version:
@@ -140,9 +145,9 @@
     async def _claim(
         self, request: requests.Request, *, condition: int
     ) -> Claim:
-        """Insert the record of a request before it is sent."""
+        """Claim the key of a request before the request is sent."""
         if not self._members.is_reachable:
-            raise _not_checked()
+            raise _key_not_checked()
         now_unix_s = self._wall_clock()
         left_s = request.deadline_s - anyio.current_time()
         record = runonce.RunOnceRecord(
@@ -151,7 +156,7 @@
             owner=self._members.own.incarnation,
             digest=runonce.digest(request),
             until_unix_s=now_unix_s + left_s,
-            expires_unix_s=now_unix_s + RETENTION_S,
+            expires_unix_s=now_unix_s + RECORD_RETENTION_S,
         )
         claim = Claim(
             row_key=keys.run_once(request.team, request.key), record=record
@@ -163,7 +168,7 @@
         finally:
             claim.is_left = not claim.done.is_set()
         if claim.is_left or claim.error is not None:
-            raise _not_checked()
+            raise _key_not_checked()
         return claim
 
     async def _insert(self, claim: Claim, condition: int) -> None:
@@ -177,8 +182,9 @@
             claim.error = exc
         claim.done.set()
         if claim.is_left and claim.version:
-            # The caller was told that it did not run; free the key.
-            await self._forget(claim)
+            # The caller got the answer that the request was not run, so
+            # the key is released.
+            await self._delete_record(claim)
 
     async def _write(
         self, claim: Claim, condition: int, value: typing.Any
@@ -194,18 +200,22 @@
             return await self._platform.read(key)
         except errors.PlatformError as exc:
             raise errors.RequestUnknownError(
-                reason="the key was used before, and its answer can't be "
-                "read now; repeat the request later",
+                reason="the key was used before, and its stored answer "
+                "can't be read now; repeat the request later",
                 status=503,
             ) from exc
 
-    async def _repeat(
+    async def _repeated_answer(
         self,
         request: requests.Request,
         own: runonce.RunOnceRecord,
         found: runonce.RunOnceRecord,
     ) -> requests.Answer | None:
-        """Return the stored answer; None if it pays to look again."""
+        """Return the stored answer, or None if the row is to be read again.
+
+        Waits for REPEAT_POLL_PERIOD_S before it returns None, while the
+        first request with this key may still be answered.
+        """
         if found.digest != own.digest:
             raise errors.RequestNotRunError(
                 reason="the key was used for another request; "
@@ -213,19 +223,19 @@
                 status=422,
             )
         if found.status:
-            return await self._stored(request, found)
+            return await self._stored_answer(request, found)
         left_s = request.deadline_s - anyio.current_time()
         is_running = found.until_unix_s > self._wall_clock()
-        if not is_running or left_s <= REPEAT_PERIOD_S + REPEAT_MARGIN_S:
+        if not is_running or left_s <= REPEAT_POLL_PERIOD_S + REPEAT_MARGIN_S:
             raise errors.RequestUnknownError(
-                reason="a request of this key was sent, and its end is not "
-                "known",
+                reason="a request with this key was sent, and its outcome "
+                "is unknown",
                 status=409,
             )
-        await anyio.sleep(REPEAT_PERIOD_S)
+        await anyio.sleep(REPEAT_POLL_PERIOD_S)
         return None
 
-    async def _stored(
+    async def _stored_answer(
         self, request: requests.Request, found: runonce.RunOnceRecord
     ) -> requests.Answer:
         body: bytes | None = found.body
@@ -236,8 +246,8 @@
                 body = None
         if body is None or len(body) != found.body_bytes:
             raise errors.RequestUnknownError(
-                reason="it ran, and its stored answer can't be read now; "
-                "repeat the request later",
+                reason="the request was run, and its stored answer can't be "
+                "read now; repeat the request later",
                 status=503,
             )
         return requests.Answer(
@@ -250,47 +260,50 @@
     async def _run(
         self, request: requests.Request, claim: Claim, dispatch: Dispatch
     ) -> requests.Answer:
-        self._open[request.id] = claim
+        self._unanswered[request.id] = claim
         try:
             answer = await dispatch(request)
         except errors.RequestNotRunError:
-            del self._open[request.id]
-            await self._start(self._forget, claim)
+            del self._unanswered[request.id]
+            await self._run_write(self._delete_record, claim)
             raise
-        self._open.pop(request.id, None)
-        await self._start(self._store, claim, answer)
+        self._unanswered.pop(request.id, None)
+        await self._run_write(self._store, claim, answer)
         return answer
 
-    async def _start(self, function: typing.Callable, *args) -> None:
-        """Run a write to its end, but wait only a while for it."""
+    async def _run_write(self, function: typing.Callable, *args) -> None:
+        """Run a write in the background, and wait briefly for its end.
+
+        The write continues if it takes longer than STORE_TIMEOUT_S.
+        """
         done = anyio.Event()
 
         async def _finish() -> None:
-            self._storing += 1
+            self._pending_writes += 1
             try:
                 await function(*args)
             finally:
-                self._storing -= 1
+                self._pending_writes -= 1
             done.set()
 
         self._group.start_soon(_finish)
         with anyio.move_on_after(STORE_TIMEOUT_S):
             await done.wait()
 
-    def take_late_answer(
+    def store_late_answer(
         self, request: requests.Request, answer: requests.Answer
     ) -> None:
-        """Store an answer whose caller has left.
+        """Store an answer whose caller no longer waits.
 
         Args:
             request: The request.
-            answer: The target's answer to it.
+            answer: The target's answer to the request.
         """
-        claim = self._open.pop(request.id, None)
+        claim = self._unanswered.pop(request.id, None)
         if claim is not None:
-            self._group.start_soon(self._start, self._store, claim, answer)
+            self._group.start_soon(self._run_write, self._store, claim, answer)
 
-    async def _forget(self, claim: Claim) -> None:
+    async def _delete_record(self, claim: Claim) -> None:
         await self._write_until_done(claim, lambda: None)
 
     async def _store(self, claim: Claim, answer: requests.Answer) -> None:
@@ -336,9 +349,13 @@
                 continue
 
     async def _sweep(self, after: str) -> str:
-        """Remove the expired records of one page; return where it ended."""
+        """Delete the expired records of one page of rows.
+
+        Returns:
+            The last key of the page; empty after the last page.
+        """
         page = await self._platform.scan(
-            keys.run_onces(), after=after, limit=SWEEP_ROWS
+            keys.run_onces(), after=after, limit=SWEEP_PAGE_ROWS
         )
         for row in page:
             record = rows.from_value(row.value, runonce.RunOnceRecord)
@@ -346,13 +363,13 @@
                 claim = Claim(
                     row_key=row.key, record=record, version=row.version
                 )
-                await self._forget(claim)
-        return page[-1].key if len(page) == SWEEP_ROWS else ""
+                await self._delete_record(claim)
+        return page[-1].key if len(page) == SWEEP_PAGE_ROWS else ""
 
 
-def _not_checked() -> errors.RequestNotRunError:
+def _key_not_checked() -> errors.RequestNotRunError:
     return errors.RequestNotRunError(
-        reason="the platform's table can't be reached, so the key can't be "
+        reason="the platform's table is unreachable, so the key can't be "
         "checked; this attempt was not run",
         status=503,
         retry_after_s=RETRY_AFTER_S,
--- a/wisteriawood/machines/service_times.py
+++ b/wisteriawood/machines/service_times.py
@@ -1,19 +1,21 @@
-"""How long the targets of a service took lately."""
+"""Recent latency of the targets of a service."""
 
 import collections
 import math
 
-WINDOW = 512
-REFRESH = 16
+WINDOW_SIZE = 512
+REFRESH_INTERVAL = 16
 MIN_OBSERVED = 32
 
 
 class ServiceTimes:
-    """Mean and quantiles of the newest answers of a service.
+    """Mean and quantiles of the latency of a service's recent answers.
 
     Attributes:
-        median_s: Median in seconds; 0 while too few are known.
-        p99_s: 99th percentile in seconds; 0 while too few are known.
+        median_s: Median in seconds; 0 until MIN_OBSERVED answers have been
+            observed.
+        p99_s: 99th percentile in seconds; 0 until MIN_OBSERVED answers
+            have been observed.
     """
 
     __slots__ = ("_count", "_sum_s", "_window", "median_s", "p99_s")
@@ -26,21 +28,21 @@
         self.p99_s = 0.0
 
     def observe(self, latency_s: float) -> None:
-        """Learn how long one answer took, in seconds."""
+        """Record the latency of one answer in seconds."""
         self._window.append(latency_s)
         self._sum_s += latency_s
-        if len(self._window) > WINDOW:
+        if len(self._window) > WINDOW_SIZE:
             self._sum_s -= self._window.popleft()
         self._count += 1
-        if self.is_known() and self._count % REFRESH == 0:
+        if self.has_estimate() and self._count % REFRESH_INTERVAL == 0:
             self._refresh()
 
-    def is_known(self) -> bool:
-        """Tell whether enough answers were seen to go by them."""
+    def has_estimate(self) -> bool:
+        """Return whether enough answers were observed for an estimate."""
         return self._count >= MIN_OBSERVED
 
     def mean_s(self) -> float:
-        """Return the mean in seconds; NaN if nothing was seen."""
+        """Return the mean in seconds; NaN if no answer was observed."""
         if not self._window:
             return math.nan
         return self._sum_s / len(self._window)
--- a/wisteriawood/machines/services.py
+++ b/wisteriawood/machines/services.py
@@ -1,4 +1,4 @@
-"""Services: the targets of one service and the requests that wait."""
+"""Services: admission and queueing of requests to one service."""
 
 import contextlib
 import dataclasses
@@ -21,20 +21,22 @@
 from wisteriawood.telemetry import events
 
 SHED_LOG_PERIOD_S = 1.0
-MIN_TIMEOUT_S = 0.001
+MIN_ATTEMPT_TIMEOUT_S = 0.001
 
 _LOG = events.Logger(name=__name__)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Ending:
-    """How an attempt at a target ended.
+    """Result of an attempt at a target.
 
     Attributes:
-        verdict: What it says about the target.
-        latency_s: Seconds until the whole answer; NaN if there was none.
-        is_done: Whether the target surely works on it no more.
-        until_s: Monotonic time by which the target has given it up.
+        verdict: What the result implies about the health of the target.
+        latency_s: Seconds until the complete answer; NaN if there was none.
+        is_done: Whether the target is known to have finished the request;
+            False where the outcome is unknown.
+        until_s: Monotonic time by which the target must have stopped
+            working on the request.
     """
 
     verdict: outliers.Verdict = outliers.Verdict.UNTOLD
@@ -44,23 +46,23 @@
 
 
 class Service:
-    """A service as one entry host sees it.
+    """A service in one entry host: its targets and waiting requests.
 
     Args:
-        team: Team that owns it.
+        team: Team that owns the service.
         name: Name of the service.
         policy: Chooses among the targets with a free slot.
-        retrying: Says whether failed requests are retried; None for the
-            default policy.
-        room: Places for waiting requests, shared with other services.
+        retrying: Decides whether failed requests are retried; None for
+            the default policy.
+        room: Pool of request queues, shared with other services.
         rng: Source of random numbers.
     """
 
     __slots__ = (
         "_queue",
         "_room",
-        "_rescuable",
-        "_shed",
+        "_cancel_scopes",
+        "_shed_count",
         "_shed_logged_s",
         "name",
         "outliers",
@@ -92,10 +94,10 @@
             retrying_base.DEFAULT
         )(rng=rng)
         self.outliers = outliers.OutlierWatch(rng=rng)
-        self._rescuable: dict[str, set[anyio.CancelScope]] = {}
+        self._cancel_scopes: dict[str, set[anyio.CancelScope]] = {}
         self._room = room or waiting_rooms.WaitingRoom()
         self._queue = self._room.open_queue(team=team)
-        self._shed = 0
+        self._shed_count = 0
         self._shed_logged_s = -math.inf
 
     @property
@@ -104,11 +106,11 @@
         return len(self._queue)
 
     def shares(self) -> list[waiting_rooms.TeamShare]:
-        """Return what each calling team waits for and has in flight."""
+        """Return the waiting and running requests of each calling team."""
         return self._queue.shares()
 
     def slots(self) -> int:
-        """Return the slots that the team may fill at once."""
+        """Return the number of slots that the team may use at once."""
         granted = sum(
             target.grant.slots
             for target in self.targets.values()
@@ -122,26 +124,27 @@
         *,
         tried: frozenset[str] = frozenset(),
     ) -> targets.Target:
-        """Wait for a slot and take it.
+        """Wait for a slot and acquire it.
 
         Args:
-            request: The request that will fill the slot.
-            tried: Ids of targets that failed it; others go first.
+            request: The request that will use the slot.
+            tried: Ids of targets where the request failed; other targets
+                are preferred.
 
         Raises:
-            RequestNotRunError: There is no slot before the deadline, or
-                none is to be expected.
+            RequestNotRunError: No slot became free before the deadline, or
+                none is expected to.
         """
         if not self._queue:
             target = self._choose(request, tried, queued=1)
             if target is not None:
-                return self._take(request, target)
+                return self._occupy_slot(request, target)
         waiter = waiting_rooms.Waiter(request=request, tried=tried)
         self._admit(waiter)
         left_s = max(0.0, request.deadline_s - anyio.current_time())
         try:
             with anyio.move_on_after(left_s):
-                await waiter.settled.wait()
+                await waiter.resolved.wait()
         except anyio.get_cancelled_exc_class():
             self._withdraw(waiter)
             raise
@@ -158,11 +161,11 @@
         request: requests.Request,
         ending: Ending,
     ) -> None:
-        """Give a slot back and hand it to the waiter that is next.
+        """Release a slot and assign it to the next waiting request.
 
         Args:
-            target: Target whose slot it is.
-            request: The request that filled it.
+            target: Target that the slot belongs to.
+            request: The request that used the slot.
             ending: How the attempt ended.
         """
         self._queue.share(request).in_flight -= 1
@@ -171,18 +174,18 @@
         if not math.isnan(ending.latency_s):
             self.times.observe(ending.latency_s)
             self.policy.observe(target, latency_s=ending.latency_s)
-        self.outliers.ended(
+        self.outliers.record_ended(
             target, verdict=ending.verdict, now_s=anyio.current_time()
         )
         self.wake()
 
     def wake(self) -> None:
-        """Hand free slots to the waiters that are next, one each."""
+        """Assign free slots to the next waiting requests, one each."""
         while self._queue:
             waiter = self._queue.head(slots=self.slots())
-            if self._is_hopeless(waiter.request):
+            if self._is_too_late(waiter.request):
                 self._queue.remove(waiter)
-                waiter.refuse(self._refusal("its turn came too late"))
+                waiter.refuse(self._refusal("a slot became free too late"))
                 continue
             target = self._choose(
                 waiter.request, waiter.tried, queued=len(self._queue)
@@ -190,43 +193,51 @@
             if target is None:
                 return
             self._queue.remove(waiter)
-            waiter.give(self._take(waiter.request, target))
+            waiter.assign(self._occupy_slot(waiter.request, target))
 
     def tend(self) -> None:
-        """Do what is due by time alone; called several times a second."""
+        """Run periodic work; called several times a second."""
         now_s = anyio.current_time()
         self.policy.tend()
-        for target_id in self.outliers.known():
+        for target_id in self.outliers.known_ids():
             if target_id not in self.targets:
                 self.outliers.forget(target_id)
-                self._rescuable.pop(target_id, None)
+                self._cancel_scopes.pop(target_id, None)
                 self.policy.forget(target_id)
         for target_id in self.outliers.take_out_stalled(
             self.targets.values(), p99_s=self.times.p99_s, now_s=now_s
         ):
-            self._rescue(target_id)
-        if self._shed and now_s - self._shed_logged_s > SHED_LOG_PERIOD_S:
-            _LOG.log(events.REQUESTS_SHED, service=self.name, count=self._shed)
-            self._shed = 0
+            self._cancel_attempts(target_id)
+        if (
+            self._shed_count
+            and now_s - self._shed_logged_s > SHED_LOG_PERIOD_S
+        ):
+            _LOG.log(
+                events.REQUESTS_SHED, service=self.name, count=self._shed_count
+            )
+            self._shed_count = 0
             self._shed_logged_s = now_s
         self.wake()
 
     def attempt_timeout_s(
         self, target: targets.Target, request: requests.Request
     ) -> float:
-        """Return how long an attempt may take, in seconds.
+        """Return the timeout of an attempt in seconds.
 
-        A probe leaves time for an attempt at another target.
+        A probe gets a shorter timeout, which leaves time for an attempt at
+        another target.
 
         Args:
             target: Target to which the request is about to be sent.
             request: The request.
         """
         now_s = anyio.current_time()
-        left_s = max(MIN_TIMEOUT_S, request.deadline_s - now_s)
-        if not self.outliers.sent(target, now_s=now_s):
+        left_s = max(MIN_ATTEMPT_TIMEOUT_S, request.deadline_s - now_s)
+        if not self.outliers.record_sent(target, now_s=now_s):
             return left_s
-        return min(left_s / 2, outliers.stall_s(p99_s=self.times.p99_s))
+        return min(
+            left_s / 2, outliers.stall_timeout_s(p99_s=self.times.p99_s)
+        )
 
     @contextlib.contextmanager
     def watch(
@@ -235,35 +246,38 @@
         request: requests.Request,
         scope: anyio.CancelScope,
     ) -> typing.Iterator[None]:
-        """Give an attempt up early if its target stalls meanwhile.
+        """Cancel an attempt if its target stalls in the meantime.
 
         Args:
             target: Target of the attempt.
-            request: The request; only a repeatable one is given up.
-            scope: Scope of the attempt, cancelled to give it up.
+            request: The request; only repeatable ones are cancelled.
+            scope: Cancel scope of the attempt.
         """
         if request.request_class != requests.RequestClass.REPEATABLE:
             yield
             return
-        scopes = self._rescuable.setdefault(target.id, set())
+        scopes = self._cancel_scopes.setdefault(target.id, set())
         scopes.add(scope)
         try:
             yield
         finally:
             scopes.discard(scope)
 
-    def _rescue(self, target_id: str) -> None:
-        """Let the requests at a stalled target be retried elsewhere."""
+    def _cancel_attempts(self, target_id: str) -> None:
+        """Cancel attempts at a stalled target so that they are retried.
+
+        Cancels no more attempts than the policy has retries available.
+        """
         if not self.outliers.out(targets_count=len(self.targets)):
             return
-        scopes = list(self._rescuable.get(target_id, ()))
+        scopes = list(self._cancel_scopes.get(target_id, ()))
         for scope in scopes[: self.retrying.available()]:
             scope.cancel()
 
     def _usable(
         self, request: requests.Request, tried: frozenset[str]
     ) -> typing.Iterable[targets.Target]:
-        """Return the targets that a request may go to."""
+        """Return the targets that a request may be sent to."""
         out = self.outliers.out(targets_count=len(self.targets))
         if not out:
             return self.targets.values()
@@ -286,7 +300,7 @@
     def _choose(
         self, request: requests.Request, tried: frozenset[str], *, queued: int
     ) -> targets.Target | None:
-        if not self._room.may_take(self.team):
+        if not self._room.is_below_limit(self.team):
             return None
         free = []
         busy = []
@@ -305,7 +319,7 @@
             free.remove(target)
         return None
 
-    def _take(
+    def _occupy_slot(
         self, request: requests.Request, target: targets.Target
     ) -> targets.Target:
         target.take()
@@ -314,43 +328,43 @@
         return target
 
     def _admit(self, waiter: waiting_rooms.Waiter) -> None:
-        """Let a request wait, if its turn is likely to come in time."""
+        """Queue a request if it is likely to get a slot in time."""
         wait_s = self._expected_wait_s(waiter.request)
         left_s = waiter.request.deadline_s - anyio.current_time()
-        excess_s = wait_s + self._reserve_s(left_s) - left_s
+        excess_s = wait_s + self._expected_service_s(left_s) - left_s
         if excess_s > 0:
             raise self._refusal(
-                "too many wait to serve it before its deadline",
+                "too many requests wait to serve it before its deadline",
                 retry_after_s=excess_s,
             )
         self._queue.add(waiter)
-        for given_up in self._room.take_overflow():
-            given_up.refuse(
+        for refused in self._room.remove_overflow():
+            refused.refuse(
                 self._refusal("the queue is full", retry_after_s=wait_s)
             )
 
     def _expected_wait_s(self, request: requests.Request) -> float:
-        """Return the time until a request would get a slot, in seconds."""
+        """Return the expected wait of a request for a slot in seconds."""
         slots = self.slots()
-        if not slots or not self.times.is_known():
+        if not slots or not self.times.has_estimate():
             return 0.0
         ahead = self._queue.ahead(request)
         return (ahead + 1) * self.times.mean_s() / slots
 
-    def _reserve_s(self, left_s: float) -> float:
-        """Return the time that a request needs at the target, in seconds.
+    def _expected_service_s(self, left_s: float) -> float:
+        """Return the time to reserve for service at the target in seconds.
 
         Args:
-            left_s: Time to its deadline.
+            left_s: Seconds until the deadline of the request.
         """
         return min(self.times.p99_s, max(self.times.median_s, left_s / 2))
 
-    def _is_hopeless(self, request: requests.Request) -> bool:
+    def _is_too_late(self, request: requests.Request) -> bool:
         left_s = request.deadline_s - anyio.current_time()
         return left_s < self.times.median_s
 
     def _withdraw(self, waiter: waiting_rooms.Waiter) -> None:
-        """Free the place or the slot of a request whose caller has gone."""
+        """Free the queue place or slot of a request that was cancelled."""
         if waiter.target is not None:
             ending = Ending(is_done=True)
             self.release(waiter.target, waiter.request, ending)
@@ -360,7 +374,7 @@
     def _refusal(
         self, reason: str, *, retry_after_s: float = 1.0
     ) -> errors.RequestNotRunError:
-        self._shed += 1
+        self._shed_count += 1
         return errors.RequestNotRunError(
             reason=reason, retry_after_s=max(1.0, retry_after_s)
         )
--- a/wisteriawood/machines/slot_clients.py
+++ b/wisteriawood/machines/slot_clients.py
@@ -1,4 +1,4 @@
-"""Slot clients: the part of an entry host that holds granted slots."""
+"""Slot clients: obtain slots for an entry host from the schedulers."""
 
 import typing
 
@@ -25,13 +25,14 @@
 ANSWER_TIMEOUT_S = 2.0
 REDIAL_PERIOD_S = 0.5
 REVIEW_PERIOD_S = 0.25
-# How long before the end of a term the table is asked for the grantor.
-ENQUIRY_S = 3.0
-# Part of the demand that is kept from one report to the next.
+# Time before the end of a term at which the rack's row is read, to find
+# out whether the grantor still holds the rack.
+HOLDING_CHECK_LEAD_S = 3.0
+# Lower bound of the demand in a report, as a share of the previous one.
 DEMAND_KEPT = 0.8
-# Above the longest deadline that a caller may ask for.
+# Must exceed the longest deadline that a caller may request.
 RELEASE_TIMEOUT_S = 65.0
-MAX_CONNECTIONS = 256
+MAX_TARGET_CONNECTIONS = 256
 
 _LOG = events.Logger(name=__name__)
 
@@ -39,7 +40,7 @@
 
 
 class Session:
-    """What one link to a grantor has carried.
+    """State of the reports and updates on one link to a grantor.
 
     Args:
         grantor: Member row of the scheduler at the other end.
@@ -64,17 +65,18 @@
         dial_peer: Opens the channel to the peer at an address.
         dial_target: Opens the link to the target at an address.
         get_service: Returns the service of a team and a name.
-        on_late_answer: Takes an answer whose caller has left.
-        get_usual_s: Returns the time in seconds that requests usually have.
+        on_late_answer: Called with an answer whose caller no longer waits.
+        get_longest_deadline_s: Returns the longest deadline in seconds
+            that the configuration gives.
     """
 
     __slots__ = (
         "_announcement",
-        "_dead",
+        "_dead_incarnations",
         "_dial_peer",
         "_dial_target",
-        "_enquiring",
-        "_followed",
+        "_pending_checks",
+        "_linked_schedulers",
         "_get_service",
         "_group",
         "_members",
@@ -94,7 +96,7 @@
         dial_target: typing.Callable,
         get_service: GetService,
         on_late_answer: slotted_links.OnLateAnswer,
-        get_usual_s: typing.Callable[[], float],
+        get_longest_deadline_s: typing.Callable[[], float],
     ):
         self._platform = platform
         self._members = members
@@ -103,35 +105,35 @@
         self._get_service = get_service
         self._on_late_answer = on_late_answer
         self._announcement = announcements.Announcement(
-            members=members, get_usual_s=get_usual_s
+            members=members, get_longest_deadline_s=get_longest_deadline_s
         )
-        self._dead: set[str] = set()
-        self._enquiring: set[str] = set()
-        self._followed: set[str] = set()
+        self._dead_incarnations: set[str] = set()
+        self._pending_checks: set[str] = set()
+        self._linked_schedulers: set[str] = set()
         self._group: abc.TaskGroup | None = None
         self.is_draining = False
         self.racks: dict[str, held_racks.HeldRack] = {}
         self.targets: dict[str, targets.Target] = {}
 
     async def run(self) -> None:
-        """Follow the schedulers of the zone, for ever."""
+        """Keep a link to each scheduler of the zone until cancelled."""
         async with anyio.create_task_group() as group:
             self._group = group
             group.start_soon(self._review_forever)
             while True:
                 changed = self._members.changed
                 for name in self._schedulers():
-                    if name not in self._followed:
-                        self._followed.add(name)
-                        group.start_soon(self._follow, name)
+                    if name not in self._linked_schedulers:
+                        self._linked_schedulers.add(name)
+                        group.start_soon(self._keep_link, name)
                 await changed.wait()
 
     async def release(self) -> bool:
-        """Return all slots, once the requests in flight are answered.
+        """Release all slots once the requests in flight are answered.
 
         Returns:
-            Whether all were returned; False where a target still works on
-            a request whose caller has left.
+            Whether all slots were released; False if a target still works
+            on a request whose caller no longer waits.
         """
         self.is_draining = True
         with anyio.move_on_after(RELEASE_TIMEOUT_S):
@@ -139,13 +141,13 @@
                 await anyio.sleep(REVIEW_PERIOD_S)
         for target in self.targets.values():
             target.grant.slots = 0
-        # The next reports tell the grantors.
+        # Leave time for the next reports to inform the grantors.
         await anyio.sleep(2 * REPORT_PERIOD_S)
         return not any(target.in_flight for target in self.targets.values())
 
     def _schedulers(self) -> list[str]:
-        # A scheduler stays listed though its row is not renewed: the
-        # platform may be out of its reach, or of ours.
+        # A scheduler is included even if its row is not renewed: the
+        # platform may be unreachable from the scheduler or from here.
         return [
             name
             for (role, name), sighting in self._members.sightings.items()
@@ -154,8 +156,8 @@
             and sighting.member.state != holdings.HostState.GONE
         ]
 
-    async def _follow(self, name: str) -> None:
-        """Hold the link to one scheduler, straight down."""
+    async def _keep_link(self, name: str) -> None:
+        """Keep the link to one scheduler open while it is a member."""
         while name in self._schedulers():
             key = (holdings.Role.SCHEDULER, name)
             member = self._members.sightings[key].member
@@ -165,11 +167,11 @@
                 ) as channel:
                     await self._exchange(member, channel)
             except errors.LinkRefusedError:
-                self._dead.add(member.incarnation)
+                self._dead_incarnations.add(member.incarnation)
             except errors.LinkError as exc:
                 _LOG.log(events.PEER_LOST, peer=name, reason=str(exc))
             await anyio.sleep(REDIAL_PERIOD_S)
-        self._followed.discard(name)
+        self._linked_schedulers.discard(name)
 
     async def _exchange(
         self, member: holdings.MemberRow, channel: typing.Any
@@ -177,8 +179,9 @@
         await channel.send(messages.Hello(member=self._members.own))
         hello = await _receive(channel)
         if hello.member.incarnation != member.incarnation:
-            # It listens at the port of the process that the row names.
-            self._dead.add(member.incarnation)
+            # Another process now listens on the port of the process that
+            # the row names, so that process is dead.
+            self._dead_incarnations.add(member.incarnation)
         _LOG.log(events.PEER_CONNECTED, peer=member.name)
         session = Session(grantor=hello.member)
         sequence = 0
@@ -188,7 +191,9 @@
             await channel.send(self.report(session, sequence, sent_s))
             update = await _receive(channel)
             if update.sequence != sequence:
-                raise errors.MessageError("an update answers another report")
+                raise errors.MessageError(
+                    "a slot update answers another report"
+                )
             self.adopt(session, update, sent_s)
             if not session.answers:
                 await anyio.sleep(REPORT_PERIOD_S)
@@ -196,11 +201,11 @@
     def report(
         self, session: Session, sequence: int, now_s: float
     ) -> messages.SlotReport:
-        """Return what to tell a grantor next.
+        """Return the next report to a grantor.
 
         Args:
-            session: The link to it.
-            sequence: Number of the report on the link.
+            session: Session with the grantor.
+            sequence: Sequence number of the report on the link.
             now_s: Monotonic time in seconds.
         """
         report = messages.SlotReport(
@@ -211,8 +216,8 @@
         for answer in session.answers:
             rack = self.racks[answer.rack]
             if rack.epoch == answer.epoch:
-                # From here on the grantor counts this term.
-                rack.limit(until_s=now_s + terms.SLOT_TERM_S)
+                # The grantor counts this term from this report on.
+                rack.shorten(until_s=now_s + terms.SLOT_TERM_S)
         session.answers = []
         for target in self.targets.values():
             if target.rack.name not in session.racks:
@@ -227,7 +232,7 @@
         return report
 
     def _slowdowns(self, session: Session) -> dict[str, float]:
-        """Return how much slower than their peers the slow targets are."""
+        """Return the slowdown of slow targets relative to their peers."""
         names = {
             (target.grant.team, target.grant.service)
             for target in self.targets.values()
@@ -243,7 +248,7 @@
         }
 
     def _demand(self, session: Session) -> dict[str, float]:
-        """Return the demands that changed, and remember all."""
+        """Return the demands that changed since the last report."""
         found: dict[str, float] = {}
         for target in self.targets.values():
             name = f"{target.grant.team}/{target.grant.service}"
@@ -253,7 +258,7 @@
             service = self._get_service(*name.split("/", 1))
             before = session.demand.get(name, 0.0)
             demand = float(in_flight + service.waiting)
-            # A falling demand is told with delay, a rising one at once.
+            # A falling demand is reported gradually, a rising one at once.
             demand = max(demand, round(DEMAND_KEPT * before, 1))
             if demand != before:
                 changed[name] = session.demand[name] = demand
@@ -262,30 +267,30 @@
     def adopt(
         self, session: Session, update: messages.SlotUpdate, sent_s: float
     ) -> None:
-        """Take a grantor's answer to a report.
+        """Apply a grantor's answer to a report.
 
         Args:
-            session: The link to it.
+            session: Session with the grantor.
             update: The answer.
             sent_s: Monotonic time just before the report was sent.
         """
         for name in update.withdrawn:
             session.racks.discard(name)
             rack = self.racks.get(name)
-            if rack is not None and rack.is_of(session.grantor):
-                rack.keep()
+            if rack is not None and rack.is_granted_by(session.grantor):
+                rack.retain()
         for name in session.racks:
             rack = self.racks[name]
-            if rack.is_of(session.grantor):
+            if rack.is_granted_by(session.grantor):
                 rack.renew(sent_s=sent_s, horizon_s=update.horizon_s)
         for claim in update.claims:
             self._answer_claim(session, claim)
         for grant in update.granted:
             rack = self.racks.get(grant.rack)
-            if rack is None or not rack.is_of(session.grantor):
+            if rack is None or not rack.is_granted_by(session.grantor):
                 continue
             if rack.epoch == grant.epoch:
-                self._take_grant(rack, grant)
+                self._apply_grant(rack, grant)
 
     def _answer_claim(self, session: Session, claim: grants.RackClaim) -> None:
         rack = self.racks.get(claim.rack)
@@ -307,7 +312,7 @@
             if target.rack.name == rack:
                 session.reported.pop(target.id, None)
 
-    def _take_grant(
+    def _apply_grant(
         self, rack: held_racks.HeldRack, grant: grants.SlotGrant
     ) -> None:
         target = self.targets.get(grant.target)
@@ -324,7 +329,7 @@
         self, rack: held_racks.HeldRack, grant: grants.SlotGrant
     ) -> targets.Target:
         inner = self._dial_target(
-            address=grant.address, connections=MAX_CONNECTIONS
+            address=grant.address, connections=MAX_TARGET_CONNECTIONS
         )
         target = targets.Target(
             grant=grant, grantor=rack.grantor.name, link=inner
@@ -351,23 +356,25 @@
             self._announcement.review()
 
     def _review_rack(self, rack: held_racks.HeldRack, now_s: float) -> None:
-        if rack.grantor is None or rack.is_kept:
+        if rack.grantor is None or rack.is_retained:
             return
-        if rack.usable_until_s - now_s > ENQUIRY_S:
+        if rack.usable_until_s - now_s > HOLDING_CHECK_LEAD_S:
             return
-        if rack.grantor.incarnation in self._dead:
-            rack.keep()
+        if rack.grantor.incarnation in self._dead_incarnations:
+            rack.retain()
         elif self._is_term_ended(rack):
-            rack.keep()
-        elif rack.name not in self._enquiring and rack.is_usable(now_s=now_s):
-            self._enquiring.add(rack.name)
-            self._group.start_soon(self._enquire, rack)
+            rack.retain()
+        elif rack.name not in self._pending_checks and rack.is_usable(
+            now_s=now_s
+        ):
+            self._pending_checks.add(rack.name)
+            self._group.start_soon(self._check_holding, rack)
 
     def _is_term_ended(self, rack: held_racks.HeldRack) -> bool:
-        """Tell whether the table showed that the grantor's term ended.
+        """Return whether the table shows that the grantor's term ended.
 
-        It must have been read after the grantor's last word, or the
-        grantor may have held its term from then on without a break.
+        Only rows read after the grantor's last answer count: with older
+        rows, the grantor may have held its term without a break.
         """
         if not self._members.watched_since(rack.renewed_s):
             return False
@@ -376,15 +383,16 @@
         if sighting is None:
             return False
         if sighting.member.incarnation != rack.grantor.incarnation:
-            # Another process at the same port proves that one dead.
+            # Another process at the same address proves that the grantor's
+            # process is dead.
             address = rack.grantor.peer_address
             return sighting.member.peer_address == address
         if sighting.member.state == holdings.HostState.GONE:
             return True
         return sighting.is_lapsed(now_s=self._members.watched_at_s)
 
-    async def _enquire(self, rack: held_racks.HeldRack) -> None:
-        """Ask the table whether the grantor still holds the rack."""
+    async def _check_holding(self, rack: held_racks.HeldRack) -> None:
+        """Read from the table whether the grantor still holds the rack."""
         grantor = rack.grantor
         epoch = rack.epoch
         key = keys.rack(self._members.own.zone, rack.name)
@@ -393,13 +401,13 @@
             if row is not None:
                 found = rows.from_value(row.value, holdings.RackHolding)
                 is_same = found.incarnation == grantor.incarnation
-                is_ours = rack.epoch == epoch and rack.is_of(grantor)
+                is_ours = rack.epoch == epoch and rack.is_granted_by(grantor)
                 if is_ours and not (is_same and found.epoch == epoch):
-                    rack.keep()
+                    rack.retain()
         except errors.PlatformError:
             pass
         await anyio.sleep(REPORT_PERIOD_S)
-        self._enquiring.discard(rack.name)
+        self._pending_checks.discard(rack.name)
 
     async def _review_target(
         self, target: targets.Target, now_s: float
@@ -411,7 +419,7 @@
         if target.end_quarantines(now_s=now_s):
             service.wake()
         if target.is_overrun(now_s=now_s):
-            self._announcement.see_overrun()
+            self._announcement.record_overrun()
         if target.grant.leaving and not target.in_flight:
             del self.targets[target.id]
             service.targets.pop(target.id, None)
--- a/wisteriawood/tests/faults/request_proofs_tests.py
+++ b/wisteriawood/tests/faults/request_proofs_tests.py
@@ -1,4 +1,8 @@
-"""Each invariant fails with its mechanism off and holds with it on."""
+"""Checks that each request invariant depends on its mechanism.
+
+Each scenario runs twice: the invariant must fail with the mechanism
+disabled, and hold with it enabled.
+"""
 
 import contextlib
 import unittest
@@ -20,31 +24,31 @@
 from wisteriawood.tests.faults import request_worlds
 from wisteriawood.tests.faults import requests_tests
 
-LONG_S = 85.0
+LOAD_DURATION_S = 85.0
 
 
-def _give_back(target, *, is_done, until_s):
+def _release_at_once(target, *, is_done, until_s):
     target.in_flight -= 1
 
 
-async def _run_again(_run_once, request, dispatch):
+async def _dispatch_without_claim(_run_once, request, dispatch):
     return await dispatch(request)
 
 
-def _claim_not_run(_attempts, exc):
+def _always_not_run(_attempts, exc):
     return errors.RequestNotRunError(reason=str(exc))
 
 
-def _take_any_answer(_link, request, response, body):
+def _accept_any_answer(_link, request, response, body):
     response.headers[target_links.REQUEST_ID_HEADER] = request.id
-    return _TO_ANSWER(_link, request, response, body)
+    return _ORIGINAL_TO_ANSWER(_link, request, response, body)
 
 
-_TO_ANSWER = target_links.HttpTarget._to_answer
+_ORIGINAL_TO_ANSWER = target_links.HttpTarget._to_answer
 
 
-def _keep_all(rack, host):
-    _SEE_TARGET(rack, _without_leaving(host))
+def _ignore_leaving(rack, host):
+    _ORIGINAL_UPDATE_TARGET(rack, _without_leaving(host))
 
 
 def _without_leaving(host):
@@ -52,17 +56,17 @@
     return host
 
 
-_SEE_TARGET = racks.Rack.see_target
+_ORIGINAL_UPDATE_TARGET = racks.Rack.see_target
 
 
-async def _wait_for_nothing(*_args):
+async def _skip_wait(*_args):
     return True
 
 
 class ProofTests(unittest.TestCase):
 
     def check_proof(self, invariant, scenario, *mechanisms):
-        """Play a scenario with mechanisms off, then on."""
+        """Run a scenario with mechanisms disabled, then enabled."""
         found = []
 
         async def _check(world):
@@ -70,13 +74,15 @@
             found.append(invariant(world))
 
         with contextlib.ExitStack() as stack:
-            for owner, name, instead in mechanisms:
-                stack.enter_context(mock.patch.object(owner, name, instead))
+            for owner, name, substitute in mechanisms:
+                stack.enter_context(mock.patch.object(owner, name, substitute))
             request_worlds.run(_check)
         request_worlds.run(_check)
-        off, on = found
-        self.assertNotEqual([], off, "holds with the mechanism off")
-        self.assertEqual([], on)
+        disabled, enabled = found
+        self.assertNotEqual(
+            [], disabled, "the invariant holds with the mechanism disabled"
+        )
+        self.assertEqual([], enabled)
 
     def check_cell(self, invariant, fault, step, *mechanisms):
         async def _scenario(world):
@@ -84,15 +90,15 @@
 
         self.check_proof(invariant, _scenario, *mechanisms)
 
-    def test_late_target_keeps_its_slots(self):
+    def test_slot_of_late_target_stays_quarantined(self):
         self.check_cell(
             request_invariants.slots_kept,
             "target answers late, after the deadline",
             "sent",
-            (targets.Target, "give_back", _give_back),
+            (targets.Target, "give_back", _release_at_once),
         )
 
-    def test_successor_counts_the_unanswered(self):
+    def test_new_grantor_waits_for_all_slot_reports(self):
         self.check_cell(
             request_invariants.slots_kept,
             "two: grantor killed, entry host cut from its successor",
@@ -100,7 +106,7 @@
             (slot_books.SlotBook, "is_counted", lambda book: True),
         )
 
-    def test_broken_term_takes_nothing_back(self):
+    def test_grantor_with_interrupted_term_reclaims_no_slots(self):
         async def _scenario(world):
             await anyio.sleep(2.5)
             grantor = world.grantor_process().name
@@ -110,7 +116,7 @@
             entry = f"entry/{request_worlds.ENTRIES[0]}"
             world.cut(entry, grantor)
             world.cut(grantor, "platform")
-            until_s = anyio.current_time() + LONG_S
+            until_s = anyio.current_time() + LOAD_DURATION_S
             async with anyio.create_task_group() as group:
                 for number in range(12):
                     name = request_worlds.ENTRIES[number % 2]
@@ -136,43 +142,43 @@
             ),
         )
 
-    def test_answers_of_others_reach_nobody(self):
+    def test_answer_to_another_request_is_rejected(self):
         self.check_cell(
             request_invariants.own_answers,
             "target answers out of order",
             "sent",
-            (target_links.HttpTarget, "_to_answer", _take_any_answer),
+            (target_links.HttpTarget, "_to_answer", _accept_any_answer),
         )
 
-    def test_not_run_is_said_of_none_that_ran(self):
+    def test_request_that_ran_is_not_reported_as_not_run(self):
         self.check_cell(
             request_invariants.not_run_is_true,
             "target answers half",
             "sent",
-            (dispatchers.Attempts, "outcome", _claim_not_run),
+            (dispatchers.FailedAttempts, "outcome", _always_not_run),
         )
 
-    def test_repeated_key_runs_once(self):
+    def test_request_with_repeated_key_runs_once(self):
         self.check_cell(
             request_invariants.once_at_most,
             "target answers half",
             "sent",
-            (run_once.RunOnce, "serve", _run_again),
+            (run_once.RunOnce, "serve", _dispatch_without_claim),
         )
 
-    def test_leaving_target_gets_nothing_new(self):
+    def test_leaving_target_gets_no_new_requests(self):
         self.check_cell(
             request_invariants.leaving_left_alone,
             "target leaving",
             "sent",
-            (racks.Rack, "see_target", _keep_all),
+            (racks.Rack, "see_target", _ignore_leaving),
         )
 
-    def test_drain_cuts_nothing(self):
+    def test_drain_interrupts_no_requests(self):
         self.check_cell(
             request_invariants.drain_cuts_nothing,
             "entry host drained",
             "half answered",
-            (entry_hosts.EntryHost, "_finish_requests", _wait_for_nothing),
-            (slot_clients.SlotClient, "release", _wait_for_nothing),
+            (entry_hosts.EntryHost, "_finish_requests", _skip_wait),
+            (slot_clients.SlotClient, "release", _skip_wait),
         )
