--- a/wisteriawood/links/callers.py
+++ b/wisteriawood/links/callers.py
@@ -23,7 +23,7 @@
 MAX_BODY_BYTES = 4 * 1024 * 1024
 MAX_KEY_CHARS = 200
 METHODS = ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"]
-OWN_HEADERS = frozenset(
+CONTROL_HEADERS = frozenset(
     {
         CALLER_HEADER,
         CLASS_HEADER,
@@ -48,7 +48,7 @@
         size_bytes += len(chunk)
         if size_bytes > MAX_BODY_BYTES:
             raise errors.RequestNotRunError(
-                reason=f"the body is over {MAX_BODY_BYTES} bytes", status=413
+                reason=f"the body exceeds {MAX_BODY_BYTES} bytes", status=413
             )
         chunks.append(chunk)
     return b"".join(chunks)
@@ -62,8 +62,8 @@
         return service.deadline_s
     if not text.isascii() or not text.isdigit() or not 0 < len(text) < 9:
         raise errors.RequestNotRunError(
-            reason=f"{targets.DEADLINE_HEADER} takes whole milliseconds "
-            "above 0",
+            reason=f"{targets.DEADLINE_HEADER} must be a positive whole "
+            "number of milliseconds",
             status=400,
         )
     return min(int(text) / 1000.0, requests.LONGEST_REQUEST_S)
@@ -77,23 +77,24 @@
     text = incoming.headers.get(CLASS_HEADER, default)
     if text not in list(requests.RequestClass):
         raise errors.RequestNotRunError(
-            reason=f"{CLASS_HEADER} takes repeatable or run-once", status=400
+            reason=f"{CLASS_HEADER} must be repeatable or run-once",
+            status=400,
         )
     if len(key) > MAX_KEY_CHARS:
         raise errors.RequestNotRunError(
-            reason=f"{KEY_HEADER} is over {MAX_KEY_CHARS} characters",
+            reason=f"{KEY_HEADER} exceeds {MAX_KEY_CHARS} characters",
             status=400,
         )
     if text == requests.RequestClass.RUN_ONCE and not key:
         raise errors.RequestNotRunError(
-            reason=f"a run-once request needs {KEY_HEADER}", status=400
+            reason=f"a run-once request requires {KEY_HEADER}", status=400
         )
     return requests.RequestClass(text), key
 
 
 def _read_path(incoming: http_requests.Request) -> str:
-    # The path goes on as it came: decoded, an escaped slash would change
-    # its meaning.
+    # The path is forwarded without decoding it, since decoding an escaped
+    # slash would change its meaning.
     raw = incoming.scope["raw_path"].split(b"?")[0].decode("ascii")
     path = "/" + "".join(raw.split("/", 3)[3:])
     query = incoming.scope["query_string"].decode("ascii")
@@ -118,7 +119,8 @@
     headers = [
         (name, value)
         for name, value in incoming.headers.items()
-        if name not in targets.HOP_HEADERS and name not in OWN_HEADERS
+        if name not in targets.HOP_BY_HOP_HEADERS
+        and name not in CONTROL_HEADERS
     ]
     return requests.Request(
         id=request_id,
@@ -137,19 +139,19 @@
     )
 
 
-def _bad_path() -> errors.RequestNotRunError:
+def _invalid_path_error() -> errors.RequestNotRunError:
     return errors.RequestNotRunError(
-        reason="write the path and the query in percent-encoded ASCII",
+        reason="the path and the query must be percent-encoded ASCII",
         status=400,
     )
 
 
-def refusal(request_id: str, exc: errors.RequestError) -> requests.Answer:
-    """Return the answer that tells a caller of an error.
+def error_answer(request_id: str, exc: errors.RequestError) -> requests.Answer:
+    """Return the answer that reports an error to the caller.
 
     Args:
         request_id: Id of the request.
-        exc: What went wrong.
+        exc: The error.
     """
     if isinstance(exc, errors.RequestNotRunError):
         return requests.Answer(
@@ -199,8 +201,8 @@
 
     Args:
         serve: Serves one request and returns its answer.
-        find_service: Returns what the configuration says of the service
-            of a team; None for the defaults.
+        find_service: Returns the configuration of the service of a team;
+            None to use the defaults.
     """
 
     async def _handle(incoming: http_requests.Request) -> responses.Response:
@@ -213,32 +215,37 @@
             service = find_service(*names) or _DEFAULT_SERVICE
             request = await _to_request(incoming, request_id, service)
         except UnicodeDecodeError:
-            return _to_response(refusal(request_id, _bad_path()))
+            return _to_response(
+                error_answer(request_id, _invalid_path_error())
+            )
         except errors.RequestError as exc:
-            return _to_response(refusal(request_id, exc))
+            return _to_response(error_answer(request_id, exc))
         try:
             answer = await serve(request)
         except errors.RequestError as exc:
-            answer = refusal(request_id, exc)
+            answer = error_answer(request_id, exc)
         return _to_response(answer)
 
-    async def _refuse(
+    async def _handle_unknown_route(
         _incoming: http_requests.Request, exc: Exception
     ) -> responses.Response:
         status = getattr(exc, "status_code", 400)
-        refused = errors.RequestNotRunError(
+        error = errors.RequestNotRunError(
             reason="send a request to /TEAM/SERVICE/PATH with one of "
             f"{', '.join(METHODS)}",
             status=status,
         )
-        return _to_response(refusal(uuid.uuid4().hex, refused))
+        return _to_response(error_answer(uuid.uuid4().hex, error))
 
     app = applications.Starlette(
         routes=[
             routing.Route(path, _handle, methods=METHODS)
             for path in ("/{team}/{service}", "/{team}/{service}/{path:path}")
         ],
-        exception_handlers={404: _refuse, 405: _refuse},
+        exception_handlers={
+            404: _handle_unknown_route,
+            405: _handle_unknown_route,
+        },
     )
     app.router.redirect_slashes = False
     return app
--- a/wisteriawood/links/channels.py
+++ b/wisteriawood/links/channels.py
@@ -1,4 +1,4 @@
-"""Channels that carry typed messages between two processes."""
+"""Channels for typed messages between two processes."""
 
 import math
 import typing
@@ -10,7 +10,7 @@
 
 
 class Channel(typing.Protocol):
-    """One end of an ordered two-way link."""
+    """One end of an ordered, bidirectional link."""
 
     async def send(self, message: typing.Any) -> None:
         """Send a message.
@@ -35,8 +35,8 @@
     """A channel between two tasks of one process.
 
     Args:
-        outgoing: Stream of what this end sends.
-        incoming: Stream of what the other end sent.
+        outgoing: Stream of messages that this end sends.
+        incoming: Stream of messages that the other end sends.
     """
 
     __slots__ = ("_incoming", "_outgoing")
@@ -55,14 +55,18 @@
         try:
             await self._outgoing.send(message)
         except (anyio.ClosedResourceError, anyio.BrokenResourceError) as exc:
-            raise errors.LinkClosedError("the peer is gone") from exc
+            raise errors.LinkClosedError(
+                "the peer closed the channel"
+            ) from exc
 
     async def receive(self) -> typing.Any:
         """Wait for the next message."""
         try:
             return await self._incoming.receive()
         except (anyio.ClosedResourceError, anyio.EndOfStream) as exc:
-            raise errors.LinkClosedError("the peer is gone") from exc
+            raise errors.LinkClosedError(
+                "the peer closed the channel"
+            ) from exc
 
     async def aclose(self) -> None:
         """Close both directions."""
@@ -71,10 +75,10 @@
 
 
 def memory_pair() -> tuple[MemoryChannel, MemoryChannel]:
-    """Return the two ends of a channel inside this process."""
-    there_send, there_receive = anyio.create_memory_object_stream(math.inf)
+    """Return the two ends of a new channel within this process."""
+    forward_send, forward_receive = anyio.create_memory_object_stream(math.inf)
     back_send, back_receive = anyio.create_memory_object_stream(math.inf)
     return (
-        MemoryChannel(outgoing=there_send, incoming=back_receive),
-        MemoryChannel(outgoing=back_send, incoming=there_receive),
+        MemoryChannel(outgoing=forward_send, incoming=back_receive),
+        MemoryChannel(outgoing=back_send, incoming=forward_receive),
     )
--- a/wisteriawood/links/clients.py
+++ b/wisteriawood/links/clients.py
@@ -1,7 +1,8 @@
-"""HTTP calls to one address, over the transport of httpx.
+"""HTTP calls to one address over an httpx transport.
 
-The client of httpx adds cookies, redirects and authentication, none of
-which these links use; its transport alone costs about half as much.
+The links use the transport directly because it takes about half the time
+of httpx.AsyncClient, which adds cookies, redirects and authentication that
+the links do not need.
 """
 
 import contextlib
@@ -14,13 +15,13 @@
 
 
 class Client:
-    """Calls to one address, over connections that are kept.
+    """HTTP client for one address with a pool of kept-alive connections.
 
     Args:
-        url: Base address, as http://HOST:PORT/PREFIX or with https.
-        timeout_s: Seconds after which a call is given up.
-        connections: Most connections.
-        transport: Carries the calls; None for one of its own.
+        url: Base URL, such as http://HOST:PORT/PREFIX or https://...
+        timeout_s: Timeout of a call, in seconds.
+        connections: Maximum number of connections.
+        transport: Transport to use; None to create one.
     """
 
     __slots__ = ("_prefix", "_timeout", "_transport", "_url")
@@ -36,7 +37,7 @@
         self._url = httpx.URL(url)
         self._prefix = self._url.path.rstrip("/")
         self._timeout = httpx.Timeout(timeout_s)
-        # Over plain HTTP no certificates need to be loaded.
+        # Plain HTTP needs no TLS context, so no certificates are loaded.
         verify: ssl.SSLContext | bool = self._url.scheme == "https"
         self._transport = transport or httpx.AsyncHTTPTransport(
             verify=verify,
@@ -57,18 +58,18 @@
         timeout: httpx.Timeout | None = None,
         extensions: dict[str, typing.Any] | None = None,
     ) -> typing.AsyncIterator[httpx.Response]:
-        """Send a request and yield the response before its body.
+        """Send a request and yield the response before its body is read.
 
         Args:
             method: HTTP method.
-            path: Path and query, percent-encoded.
+            path: Percent-encoded path and query.
             headers: Header fields.
             content: Body.
-            timeout: Limits of this call; None for those of the client.
-            extensions: Extensions of httpx.
+            timeout: Timeouts of this call; None for those of the client.
+            extensions: Request extensions of httpx.
 
         Raises:
-            HTTPError: The call failed, as httpx tells it.
+            httpx.HTTPError: The call failed.
         """
         raw_path = (self._prefix + path).encode("ascii")
         limits = (timeout or self._timeout).as_dict()
@@ -96,18 +97,18 @@
         content: bytes = b"",
         timeout: httpx.Timeout | None = None,
     ) -> httpx.Response:
-        """Send a request and return the response with its whole body.
+        """Send a request and return the response with its complete body.
 
         Args:
             method: HTTP method.
-            path: Path, percent-encoded.
-            params: Query.
+            path: Percent-encoded path.
+            params: Query parameters.
             headers: Header fields.
             content: Body.
-            timeout: Limits of this call; None for those of the client.
+            timeout: Timeouts of this call; None for those of the client.
 
         Raises:
-            HTTPError: The call failed, as httpx tells it.
+            httpx.HTTPError: The call failed.
         """
         if params:
             path = f"{path}?{httpx.QueryParams(params)}"
--- a/wisteriawood/links/https.py
+++ b/wisteriawood/links/https.py
@@ -1,4 +1,4 @@
-"""HTTP servers of the daemons, by hypercorn."""
+"""HTTP servers of the daemons, run by Hypercorn."""
 
 import typing
 
@@ -14,14 +14,14 @@
 async def serve_until(
     app: typing.Any, address: str | list[str], stopping: anyio.Event
 ) -> None:
-    """Serve an ASGI application until it is told to stop.
+    """Serve an ASGI application until an event is set.
 
-    Requests in flight are finished first.
+    Requests in flight are completed before the server stops.
 
     Args:
         app: The application.
-        address: Address to listen on, as host:port; or several.
-        stopping: Set to stop.
+        address: One or more addresses to listen on, as host:port.
+        stopping: Event that stops the server.
     """
     config = hypercorn_config.Config()
     config.bind = [address] if isinstance(address, str) else address
@@ -35,11 +35,11 @@
 
 
 async def serve_lifespan(receive, send) -> None:
-    """Answer a server that starts and stops.
+    """Handle the lifespan events of an ASGI server.
 
     Args:
-        receive: Returns the server's next message.
-        send: Sends it an answer.
+        receive: Returns the next message of the server.
+        send: Sends a message to the server.
     """
     while True:
         message = await receive()
--- a/wisteriawood/links/messages.py
+++ b/wisteriawood/links/messages.py
@@ -26,7 +26,7 @@
 
 
 class Topic(enum.StrEnum):
-    """What a link is for."""
+    """Purpose of a link."""
 
     SLOTS = "slots"
     PEER = "peer"
@@ -35,12 +35,12 @@
 @message("hello")
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Hello:
-    """First message in each direction: who speaks.
+    """First message in each direction; it identifies the sender.
 
     Attributes:
         member: The sender's member row.
-        config_version: Version of the configuration that it has.
-        topic: What the link is for.
+        config_version: Version of the configuration that the sender has.
+        topic: Purpose of the link.
     """
 
     member: holdings.MemberRow
@@ -51,12 +51,12 @@
 @message("heartbeat")
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Heartbeat:
-    """Sent by both ends of a peer link once a period.
+    """Sent periodically by both ends of a peer link.
 
     Attributes:
         config_version: Version of the configuration that the sender has.
         follows_peers: Whether the sender can't read the platform and
-            follows the configuration through its peers.
+            receives the configuration from its peers.
     """
 
     config_version: int
@@ -66,18 +66,20 @@
 @message("slot-report")
 @dataclasses.dataclass(slots=True, kw_only=True)
 class SlotReport:
-    """What an entry host holds of the grantor's targets.
+    """Slots that an entry host holds on the grantor's targets.
 
-    An entry host sends the next report only after the answer to the
-    last, so that a report always tells what came of the grants before.
+    An entry host sends a report only after it has received the answer
+    to the previous one, so that each report reflects all grants so far.
 
     Attributes:
-        sequence: Grows by one with each report on a link.
-        answers: Claims answered; the holdings of these racks are whole.
+        sequence: Increases by one with each report on a link.
+        answers: Claims that are answered; for their racks, `holdings` is
+            complete.
         holdings: Holdings that changed since the last report.
-        demand: Slots that it could fill, by team/service; those changed.
-        slowdowns: Latency of slow targets against that of their peers.
-        is_draining: Whether it returns what it holds.
+        demand: Slots that it could use, by team/service; only changes.
+        slowdowns: Latency of slow targets relative to that of their
+            peers.
+        is_draining: Whether the entry host is returning its slots.
     """
 
     sequence: int
@@ -93,15 +95,17 @@
 @message("slot-update")
 @dataclasses.dataclass(slots=True, kw_only=True)
 class SlotUpdate:
-    """A grantor's answer to a report; it renews what it has granted.
+    """A grantor's answer to a report; it renews the existing grants.
 
     Attributes:
-        sequence: Sequence of the report that it answers.
-        horizon_s: Seconds for which the grants may be kept without any
-            further word.
-        claims: Racks newly held; the next report answers them.
-        withdrawn: Racks that the grantor holds no longer.
-        granted: Grants that differ from what the entry host holds.
+        sequence: Sequence number of the report that it answers.
+        horizon_s: Seconds for which the grants may be retained without
+            a further update.
+        claims: Racks that the grantor has just claimed; the next report
+            answers them.
+        withdrawn: Racks that the grantor no longer holds.
+        granted: Grants that differ from the slots that the entry host
+            holds.
     """
 
     sequence: int
@@ -114,7 +118,7 @@
 @message("config-wanted")
 @dataclasses.dataclass(slots=True, kw_only=True)
 class ConfigWanted:
-    """Asks a peer for the configuration that it has.
+    """Requests the configuration from a peer.
 
     Attributes:
         have: Version that the sender has; below 0 for none.
@@ -126,7 +130,7 @@
 @message("config-changes")
 @dataclasses.dataclass(slots=True, kw_only=True)
 class ConfigChanges:
-    """Changes of the configuration, passed on to a peer.
+    """Changes of the configuration, forwarded to a peer.
 
     Attributes:
         changes: The changes, oldest first.
@@ -138,10 +142,10 @@
 @message("config-offer")
 @dataclasses.dataclass(slots=True, kw_only=True)
 class ConfigOffer:
-    """A whole version of the configuration, passed on to a peer.
+    """A complete version of the configuration, forwarded to a peer.
 
     Attributes:
-        snapshot: The version.
+        snapshot: The complete configuration with its version.
     """
 
     snapshot: configurations.ConfigSnapshot
--- a/wisteriawood/links/peers.py
+++ b/wisteriawood/links/peers.py
@@ -1,4 +1,4 @@
-"""Links between entry hosts and schedulers: websockets with CBOR."""
+"""Links between entry hosts and schedulers: CBOR over WebSockets."""
 
 import contextlib
 import typing
@@ -22,7 +22,7 @@
 
 
 class PeerChannel:
-    """A channel over one websocket.
+    """A channel over one WebSocket connection.
 
     Args:
         socket: Connection of the websockets library.
@@ -38,31 +38,33 @@
         try:
             await self._socket.send(cbor.encode(message))
         except ws_exceptions.ConnectionClosed as exc:
-            raise errors.LinkClosedError("the peer link broke") from exc
+            raise errors.LinkClosedError("the link to the peer broke") from exc
 
     async def receive(self) -> typing.Any:
         """Wait for the next message."""
         try:
             data = await self._socket.recv(decode=False)
         except ws_exceptions.ConnectionClosed as exc:
-            raise errors.LinkClosedError("the peer link broke") from exc
+            raise errors.LinkClosedError("the link to the peer broke") from exc
         return cbor.decode(data)
 
     async def aclose(self) -> None:
-        """Close the websocket."""
+        """Close the connection."""
         await self._socket.close()
 
 
 @contextlib.asynccontextmanager
 async def connect(*, address: str) -> typing.AsyncIterator[PeerChannel]:
-    """Dial a peer and yield the channel to it.
+    """Connect to a peer and yield the channel.
 
     Args:
         address: Address of the peer, as host:port.
 
     Raises:
-        LinkRefusedError: Its machine refuses: nobody listens there.
-        LinkClosedError: It does not answer.
+        LinkRefusedError: The machine refused the connection: no process
+            listens at the address.
+        LinkClosedError: The connection failed for another reason, such as
+            a timeout.
     """
     try:
         socket = await ws_client.connect(
@@ -75,9 +77,13 @@
             proxy=None,
         )
     except ConnectionRefusedError as exc:
-        raise errors.LinkRefusedError("the peer refuses") from exc
+        raise errors.LinkRefusedError(
+            "the peer refused the connection"
+        ) from exc
     except (OSError, TimeoutError, ws_exceptions.WebSocketException) as exc:
-        raise errors.LinkClosedError(f"no link to the peer: {exc}") from exc
+        raise errors.LinkClosedError(
+            f"can't connect to the peer: {exc}"
+        ) from exc
     try:
         yield PeerChannel(socket=socket)
     finally:
@@ -88,11 +94,12 @@
 async def serve(
     *, address: str, handler: Handler
 ) -> typing.AsyncIterator[None]:
-    """Accept peers; the handler runs as one task for each connection.
+    """Accept connections of peers, with one task for each connection.
 
     Args:
         address: Address to listen on, as host:port.
-        handler: Serves one channel until it returns or the link breaks.
+        handler: Serves one channel; it returns, or raises LinkError when
+            the link breaks.
     """
 
     async def _serve_one(socket: typing.Any) -> None:
--- a/wisteriawood/links/platforms.py
+++ b/wisteriawood/links/platforms.py
@@ -1,4 +1,4 @@
-"""Link to the platform's table, object store and host list."""
+"""Link to the table, the object store and the host list of the platform."""
 
 import dataclasses
 import enum
@@ -16,8 +16,8 @@
 
 CALL_TIMEOUT_S = 2.0
 SCAN_LIMIT = 1000
-READ_BACK_DELAY_S = 0.05
-READ_BACK_MAX_DELAY_S = 1.0
+READ_OUTCOME_DELAY_S = 0.05
+MAX_READ_OUTCOME_DELAY_S = 1.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -27,7 +27,7 @@
     Attributes:
         key: Key of the row.
         value: JSON value.
-        version: Changes with every write and never comes back.
+        version: Changes with every write and is never reused.
     """
 
     key: str
@@ -37,11 +37,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Condition:
-    """What must hold for a transaction to be committed.
+    """Precondition of a transaction.
 
     Attributes:
-        key: Key of a row.
-        version: Version that it must have; 0 if it must not exist.
+        key: Key of the row.
+        version: Version that the row must have; 0 if it must not exist.
     """
 
     key: str
@@ -68,14 +68,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Transaction:
-    """Writes that are committed together or not at all.
+    """Writes that are committed atomically.
 
-    The table commits an id once; sent again, it gives the first outcome.
+    The table commits each id only once; if a transaction is sent again,
+    the table returns the first outcome.
 
     Attributes:
-        conditions: What must hold.
-        writes: What is written.
-        id: Own id of the transaction.
+        conditions: Preconditions of the commit.
+        writes: Writes to commit.
+        id: Unique id of the transaction.
     """
 
     conditions: list[Condition] = dataclasses.field(default_factory=list)
@@ -90,7 +91,7 @@
     Attributes:
         committed: Whether it was committed.
         version: Version of all rows that it wrote.
-        conflicts: Keys whose conditions did not hold.
+        conflicts: Keys of the conditions that did not hold.
     """
 
     committed: bool
@@ -99,7 +100,7 @@
 
 
 class HostKind(enum.StrEnum):
-    """Kinds of machines in the platform's host list."""
+    """Kind of a machine in the platform's host list."""
 
     WORKER = "worker"
     TARGET = "target"
@@ -107,16 +108,16 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Host:
-    """A machine in the platform's host list, which lags.
+    """A machine in the platform's host list, which may be out of date.
 
     Attributes:
         name: Name of the host.
         kind: Worker, or target that serves one service.
-        zone: Its availability zone.
-        rack: Its rack.
-        address: Address of its interface, as host:port.
-        capacity: What a worker can hold.
-        leaving: Whether it will go away soon.
+        zone: Availability zone of the host.
+        rack: Rack of the host.
+        address: Address that the host serves, as host:port.
+        capacity: Resources of a worker.
+        leaving: Whether the host is about to be removed.
         team: Team of a target.
         service: Service of a target.
         slots: Slots of a target.
@@ -135,10 +136,11 @@
 
 
 class Platform(typing.Protocol):
-    """What the platform gives; the users' bench can stand in here.
+    """Calls to the platform; a test bench may provide its own version.
 
-    Every call raises PlatformUnavailableError if it surely had no effect
-    and TransactionUnknownError if a commit may have had one.
+    Every call raises PlatformUnavailableError if it is known to have had
+    no effect, and a commit raises TransactionUnknownError if it may have
+    taken effect.
     """
 
     async def read(self, key: str) -> Row | None:
@@ -147,12 +149,12 @@
     async def scan(
         self, prefix: str, *, after: str = "", limit: int = SCAN_LIMIT
     ) -> list[Row]:
-        """Return rows in the order of keys.
+        """Return rows in the order of their keys.
 
         Args:
-            prefix: Start of their keys.
-            after: Only keys greater than this one.
-            limit: Most rows to return.
+            prefix: Prefix of the keys.
+            after: Return only keys greater than this one.
+            limit: Maximum number of rows to return.
         """
 
     async def commit(self, transaction: Transaction) -> Result:
@@ -176,11 +178,11 @@
 
 
 class HttpPlatform:
-    """The platform over HTTP with JSON.
+    """The platform, called over HTTP with JSON bodies.
 
     Args:
-        url: Base address of the platform.
-        timeout_s: Seconds after which a call is given up.
+        url: Base URL of the platform.
+        timeout_s: Timeout of a call, in seconds.
     """
 
     __slots__ = ("_client",)
@@ -193,11 +195,11 @@
             response = await self._client.request(method, path, **options)
         except httpx.HTTPError as exc:
             raise errors.PlatformUnavailableError(
-                f"the platform does not answer: {exc!r}"
+                f"the call to the platform failed: {exc!r}"
             ) from exc
         if response.status_code >= 500:
             raise errors.PlatformUnavailableError(
-                f"the platform answers {response.status_code}"
+                f"the platform answered with status {response.status_code}"
             )
         return response
 
@@ -211,7 +213,7 @@
     async def scan(
         self, prefix: str, *, after: str = "", limit: int = SCAN_LIMIT
     ) -> list[Row]:
-        """Return rows in the order of keys."""
+        """Return rows in the order of their keys."""
         response = await self._call(
             "GET",
             "/scan",
@@ -227,17 +229,19 @@
             )
         except (httpx.ConnectError, httpx.ConnectTimeout) as exc:
             raise errors.PlatformUnavailableError(
-                "the platform refuses connections"
+                "the platform refused the connection"
             ) from exc
         except httpx.HTTPError as exc:
             raise errors.TransactionUnknownError(
-                f"a commit was not acknowledged: {exc!r}"
+                f"the commit was not acknowledged: {exc!r}"
             ) from exc
         if response.status_code == 503:
-            raise errors.PlatformUnavailableError("the platform is down")
+            raise errors.PlatformUnavailableError(
+                "the platform is unavailable"
+            )
         if response.status_code >= 500:
             raise errors.TransactionUnknownError(
-                f"the platform answers {response.status_code}"
+                f"the platform answered with status {response.status_code}"
             )
         return rows.from_json(response.content, Result)
 
@@ -270,24 +274,25 @@
 async def commit_settled(
     platform: Platform, transaction: Transaction
 ) -> Result:
-    """Commit a transaction and settle a lost acknowledgement.
+    """Commit a transaction, and retry until its outcome is known.
 
-    A commit whose outcome is unknown is read back by its own id; where
-    the table does not know the id, the same transaction is sent again,
-    which the table commits once at most.
+    If the acknowledgement is lost, the outcome is read by the id of the
+    transaction. If the table does not know the id, the same transaction is
+    sent again; the table commits it at most once.
 
     Args:
         platform: Link to the platform.
-        transaction: What to commit.
+        transaction: The transaction to commit.
 
     Raises:
-        PlatformUnavailableError: The first send surely had no effect.
+        PlatformUnavailableError: The first attempt failed and is known to
+            have had no effect.
     """
     try:
         return await platform.commit(transaction)
     except errors.TransactionUnknownError:
         pass
-    delay_s = READ_BACK_DELAY_S
+    delay_s = READ_OUTCOME_DELAY_S
     while True:
         try:
             result = await platform.outcome(transaction.id)
@@ -296,15 +301,15 @@
             return result
         except errors.PlatformError:
             await anyio.sleep(delay_s)
-            delay_s = min(2 * delay_s, READ_BACK_MAX_DELAY_S)
+            delay_s = min(2 * delay_s, MAX_READ_OUTCOME_DELAY_S)
 
 
 async def scan_all(platform: Platform, prefix: str) -> list[Row]:
-    """Return all rows of a prefix, page after page.
+    """Return all rows whose keys have a prefix, read page by page.
 
     Args:
         platform: Link to the platform.
-        prefix: Start of their keys.
+        prefix: Prefix of the keys.
     """
     found: list[Row] = []
     after = ""
--- a/wisteriawood/links/runners.py
+++ b/wisteriawood/links/runners.py
@@ -1,4 +1,4 @@
-"""Link to a worker that runs the tasks of jobs under one lease."""
+"""Link to a worker that runs the tasks of jobs under a single lease."""
 
 import dataclasses
 import enum
@@ -9,7 +9,7 @@
 
 
 class StartAnswer(enum.StrEnum):
-    """What a worker says to a start."""
+    """Answer of a worker to a command to start a run."""
 
     STARTED = "started"
     FENCED = "fenced"
@@ -28,11 +28,12 @@
     Attributes:
         task_name: Name of the task.
         run: Number of the run.
-        payload: Text of the job, handed on untouched.
+        payload: Text of the job, passed to the worker unchanged.
         lease_until_ms: End of the worker's lease, on the worker's clock.
         token: Fencing token.
-        checkpoint: From where the run resumes; empty for the start.
-        ticket: Permission of the advice service; empty for none.
+        checkpoint: Checkpoint from which the run resumes; empty to start
+            from the beginning.
+        ticket: Permission from the advice service; empty for none.
     """
 
     task_name: str
@@ -46,15 +47,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class ActiveRun:
-    """A run that is on a worker.
+    """A run that is present on a worker.
 
     Attributes:
         task_name: Name of the task.
         run: Number of the run.
-        checkpoint: Newest checkpoint; empty for none.
-        percent: Share of full speed at which it works.
-        signal: Tail latency in milliseconds of a serving task, processor
-            in use in thousandths of a core of any other.
+        checkpoint: Latest checkpoint; empty for none.
+        percent: Speed at which it runs, as a percentage of full speed.
+        signal: For a serving task its tail latency in milliseconds, for
+            any other task its CPU use in millicores.
     """
 
     task_name: str
@@ -66,13 +67,14 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class EndedRun:
-    """The end of a run, listed until it is acknowledged.
+    """The end of a run, reported until it is acknowledged.
 
     Attributes:
-        number: Number of the end in the life of the worker.
+        number: Sequence number of the end within this instance of the
+            worker process.
         task_name: Name of the task.
         run: Number of the run.
-        outcome: How it ended.
+        outcome: Outcome of the run.
         checkpoint: Last checkpoint; empty for none.
     """
 
@@ -85,13 +87,14 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class RunReport:
-    """What a worker says of its runs.
+    """Runs of a worker, as the worker reports them.
 
     Attributes:
-        born_unix_ms: Start of this life of the worker.
-        clock_ms: The worker's clock.
-        active: Runs that are there.
-        ended: Ends that have not been acknowledged, by number.
+        born_unix_ms: Start time of this instance of the worker process.
+        clock_ms: Time on the worker's clock.
+        active: Runs that are present on the worker.
+        ended: Ends that have not been acknowledged, in order of their
+            number.
     """
 
     born_unix_ms: int
@@ -101,37 +104,37 @@
 
 
 class FencedError(errors.LinkError):
-    """The worker has seen a higher fencing token."""
+    """The worker has received a higher fencing token."""
 
 
 class OtherLifeError(errors.LinkError):
-    """Another life of the worker answers at its address."""
+    """Another instance of the worker process answers at its address."""
 
 
 class RunLink(typing.Protocol):
     """Calls to one worker.
 
-    Every call raises LinkError when there is no answer; the command may
-    then have been carried out, or may be later.
+    Every call raises LinkError if there is no answer; the command may
+    then have been executed, or may still be executed later.
     """
 
     async def start(self, order: StartOrder) -> StartAnswer:
         """Start a run."""
 
     async def stop(self, task_name: str, run: int, token: int) -> None:
-        """Stop a run; it is refused for good if it isn't there yet.
+        """Stop a run; if it has not arrived yet, its start will be refused.
 
         Raises:
-            FencedError: The worker has seen a higher token.
+            FencedError: The worker has received a higher token.
         """
 
     async def pace(
         self, task_name: str, run: int, percent: int, token: int
     ) -> None:
-        """Let a run work at a share of its speed.
+        """Limit a run to a percentage of its full speed.
 
         Raises:
-            FencedError: The worker has seen a higher token.
+            FencedError: The worker has received a higher token.
         """
 
     async def renew(
@@ -142,18 +145,19 @@
         lease_until_ms: int,
         wait_ms: int,
     ) -> RunReport:
-        """Renew the lease, acknowledge ends and return the runs.
+        """Renew the lease, acknowledge ended runs and return a report.
 
         Args:
             token: Fencing token.
-            acknowledged: Number of the last end that is in the store.
+            acknowledged: Number of the last end that has been stored.
             lease_until_ms: End of the lease, on the worker's clock; 0 to
-                leave it.
-            wait_ms: Longest time to wait for an end.
+                leave it unchanged.
+            wait_ms: Maximum time to wait for a run to end.
 
         Raises:
-            FencedError: The worker has seen a higher token.
-            OtherLifeError: Another life of the worker answers.
+            FencedError: The worker has received a higher token.
+            OtherLifeError: Another instance of the worker process
+                answers.
         """
 
     async def aclose(self) -> None:
@@ -162,21 +166,22 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Registration:
-    """A worker in the directory, which lags.
+    """A worker in the directory, which may be out of date.
 
     Attributes:
-        worker_id: Its id.
-        service: Service to whose pool it belongs.
-        address: Its address, as host:port.
-        zone: Its availability zone.
-        labels: Its labels; one of them is its rack.
-        rack: Its rack; empty if unknown.
-        cpu_millicores: Processor that it has.
-        memory_mb: Memory that it has.
-        accelerators: Accelerators that it has.
-        is_draining: Whether it leaves soon.
-        remaining_ms: Least time that a draining worker has left.
-        born_unix_ms: Start of this life; 0 if unknown.
+        worker_id: Id of the worker.
+        service: Service whose pool the worker belongs to.
+        address: Address of the worker, as host:port.
+        zone: Availability zone of the worker.
+        labels: Labels of the worker; one of them names its rack.
+        rack: Rack of the worker; empty if unknown.
+        cpu_millicores: CPU capacity in millicores.
+        memory_mb: Memory capacity in megabytes.
+        accelerators: Number of accelerators.
+        is_draining: Whether the worker is about to be removed.
+        remaining_ms: Minimum time until a draining worker is removed.
+        born_unix_ms: Start time of this instance of the worker process;
+            0 if unknown.
     """
 
     worker_id: str
--- a/wisteriawood/links/targets.py
+++ b/wisteriawood/links/targets.py
@@ -1,4 +1,4 @@
-"""Link to a target, the back end of a service."""
+"""Link to a target, a back end of a service."""
 
 import typing
 
@@ -12,8 +12,8 @@
 REQUEST_ID_HEADER = "x-request-id"
 DEADLINE_HEADER = "x-deadline-ms"
 CONNECT_TIMEOUT_S = 2.0
-TOO_LATE = "the slot was taken back before the request could leave"
-HOP_HEADERS = frozenset(
+SEND_TOO_LATE = "the slot was reclaimed before the request was sent"
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -30,7 +30,7 @@
 
 
 def _is_delimited(request: requests.Request, response: httpx.Response) -> bool:
-    """Tell whether a cut-off body would have been noticed."""
+    """Return whether a truncated body can be detected."""
     return (
         "content-length" in response.headers
         or "transfer-encoding" in response.headers
@@ -46,8 +46,8 @@
         size_bytes += len(chunk)
         if size_bytes > MAX_ANSWER_BYTES:
             raise errors.RequestUnknownError(
-                reason=f"the target's answer is over {MAX_ANSWER_BYTES} "
-                "bytes; have the service answer in parts",
+                reason="the target's response is larger than "
+                f"{MAX_ANSWER_BYTES} bytes; split it into several responses",
                 status=502,
             )
         chunks.append(chunk)
@@ -55,19 +55,19 @@
 
 
 class TargetLink(typing.Protocol):
-    """What a target can be asked; the users' bench can stand in here."""
+    """Calls to a target; a test bench may provide its own implementation."""
 
     async def send(
         self, request: requests.Request, *, timeout_s: float
     ) -> requests.Answer:
-        """Run a request and return its whole answer.
+        """Send a request and return the complete answer.
 
-        It may not leave for the target after the request's `send_by_s`.
+        The request must not be sent after its `send_by_s`.
 
         Args:
             request: The request.
-            timeout_s: Seconds after which no answer is waited for; may be
-                long after the request's deadline.
+            timeout_s: Seconds to wait for the answer; may extend long
+                after the deadline of the request.
 
         Raises:
             RequestNotRunError: No byte can have reached the target.
@@ -79,11 +79,11 @@
 
 
 class HttpTarget:
-    """A target over HTTP.
+    """A target that is called over HTTP.
 
     Args:
         address: Address of the target, as host:port.
-        connections: Most connections to the target.
+        connections: Maximum number of connections to the target.
     """
 
     __slots__ = ("_client",)
@@ -98,19 +98,19 @@
     async def send(
         self, request: requests.Request, *, timeout_s: float
     ) -> requests.Answer:
-        """Run a request and return its whole answer."""
-        left_s = max(0.001, request.deadline_s - anyio.current_time())
+        """Send a request and return the complete answer."""
+        remaining_s = max(0.001, request.deadline_s - anyio.current_time())
         headers = [
             *request.headers,
             (REQUEST_ID_HEADER, request.id),
-            (DEADLINE_HEADER, str(int(1000 * left_s))),
+            (DEADLINE_HEADER, str(int(1000 * remaining_s))),
             ("traceparent", request.traceparent),
         ]
 
-        async def _check_time(step: str, _info: typing.Any) -> None:
-            is_leaving = step == "http11.send_request_headers.started"
-            if is_leaving and anyio.current_time() >= request.send_by_s:
-                raise errors.RequestNotRunError(reason=TOO_LATE)
+        async def _check_send_deadline(step: str, _info: typing.Any) -> None:
+            is_sending = step == "http11.send_request_headers.started"
+            if is_sending and anyio.current_time() >= request.send_by_s:
+                raise errors.RequestNotRunError(reason=SEND_TOO_LATE)
 
         try:
             async with self._client.stream(
@@ -120,10 +120,10 @@
                 content=request.body,
                 timeout=httpx.Timeout(
                     timeout_s,
-                    connect=min(left_s, CONNECT_TIMEOUT_S),
-                    pool=left_s,
+                    connect=min(remaining_s, CONNECT_TIMEOUT_S),
+                    pool=remaining_s,
                 ),
-                extensions={"trace": _check_time},
+                extensions={"trace": _check_send_deadline},
             ) as response:
                 body = await _read_body(response)
         except (
@@ -132,11 +132,11 @@
             httpx.PoolTimeout,
         ) as exc:
             raise errors.RequestNotRunError(
-                reason="the target refuses connections"
+                reason="can't connect to the target"
             ) from exc
         except (httpx.InvalidURL, httpx.UnsupportedProtocol) as exc:
             raise errors.RequestNotRunError(
-                reason="the path is not valid", status=400
+                reason="the path is invalid", status=400
             ) from exc
         except httpx.HTTPError as exc:
             raise errors.RequestUnknownError(
@@ -153,17 +153,18 @@
         answered_id = response.headers.get(REQUEST_ID_HEADER, request.id)
         if answered_id != request.id:
             raise errors.RequestUnknownError(
-                reason="the target answered another request", status=502
+                reason="the target answered a different request", status=502
             )
         if not _is_delimited(request, response):
             raise errors.RequestUnknownError(
-                reason="the target's answer has no length; it may be cut off",
+                reason="the target's response has no length; it may be "
+                "truncated",
                 status=502,
             )
         headers = [
             (name, value)
             for name, value in response.headers.multi_items()
-            if name not in HOP_HEADERS and name != REQUEST_ID_HEADER
+            if name not in HOP_BY_HOP_HEADERS and name != REQUEST_ID_HEADER
         ]
         return requests.Answer(
             request_id=request.id,
--- a/wisteriawood/links/workers.py
+++ b/wisteriawood/links/workers.py
@@ -26,15 +26,16 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class StartCommand:
-    """Order to start one attempt of a task.
+    """Command to start one attempt of a task.
 
     Attributes:
         spec: The task.
         attempt: Number of the attempt.
-        lease_s: Seconds it may run without a renewal.
-        not_after_s: Latest time of the worker's clock to start at.
-        checkpoint: Object key to resume from; empty to start anew.
-        traceparent: W3C trace context of the order.
+        lease_s: Seconds for which it may run without a renewal.
+        not_after_s: Latest start time, on the worker's clock.
+        checkpoint: Object key of the checkpoint to resume from; empty to
+            start from the beginning.
+        traceparent: W3C trace context of the command.
     """
 
     spec: tasks.TaskSpec
@@ -47,12 +48,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class RenewCommand:
-    """Order to renew the leases of attempts.
+    """Command to renew the leases of attempts.
 
     Attributes:
         attempts: Attempt number by task id.
-        lease_s: Seconds they may run without a further renewal.
-        not_after_s: Latest time of the worker's clock to renew at.
+        lease_s: Seconds for which they may run without a further renewal.
+        not_after_s: Latest time of the renewal, on the worker's clock.
     """
 
     attempts: dict[str, int]
@@ -62,17 +63,19 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class AttemptReport:
-    """What a worker says of one attempt.
+    """State of one attempt, as reported by its worker.
 
     Attributes:
         task: Id of the task.
         attempt: Number of the attempt.
         state: State of the attempt.
-        address: Address of the target that a service runs; else empty.
-        reason: Why it failed.
-        progress: Share of the work that is done, 0 to 1.
-        throttle: Share of its resources that it may use, 0 to 1.
-        spec: The task, so that a new holder knows what it needs.
+        address: Address of the target if the task is a service; else
+            empty.
+        reason: Reason for a failure.
+        progress: Fraction of the work that is done, 0 to 1.
+        throttle: Fraction of its resources that it may use, 0 to 1.
+        spec: The task, so that a new holder of the rack knows which
+            resources it needs.
     """
 
     task: str
@@ -87,14 +90,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Inventory:
-    """All attempts that a worker knows of.
+    """All attempts that are known to a worker.
 
     Attributes:
         worker: Name of the worker.
         clock_s: Time of the worker's monotonic clock in seconds.
-        capacity: What the worker offers.
-        boot: Id of this start of the worker; it loses all with it.
-        attempts: Running attempts and those that ended lately.
+        capacity: Resources that the worker offers.
+        boot: Id of this instance of the worker process; a restart changes
+            it and loses all attempts.
+        attempts: Running and recently ended attempts.
     """
 
     worker: str
@@ -106,14 +110,14 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class UsageReport:
-    """What one attempt used, with a lag.
+    """Resources that one attempt used; it is reported with a lag.
 
     Attributes:
         task: Id of the task.
         attempt: Number of the attempt.
-        used: Resources used on average.
-        speed: Speed against running alone, 0 to 1; 0 if not known.
-        measured_s: Time of the worker's clock at the measurement.
+        used: Average use of resources.
+        speed: Speed relative to running alone, 0 to 1; 0 if unknown.
+        measured_s: Time of the measurement, on the worker's clock.
     """
 
     task: str
@@ -124,14 +128,14 @@
 
 
 class WorkerLink(typing.Protocol):
-    """What a worker can be asked; the users' bench can stand in here.
+    """Calls to a worker; a test bench may provide its own implementation.
 
-    Every call raises LinkRefusedError where nobody listens and
-    LinkClosedError where the outcome is not known.
+    Every call raises LinkRefusedError if no process listens at the
+    address, and LinkClosedError if the outcome is unknown.
     """
 
     async def start(self, command: StartCommand) -> bool:
-        """Start an attempt; False if the worker refuses."""
+        """Start an attempt; return whether the worker accepted it."""
 
     async def renew(self, command: RenewCommand) -> None:
         """Renew the leases of attempts."""
@@ -140,27 +144,27 @@
         """Write a checkpoint and return its object key."""
 
     async def throttle(self, task: str, attempt: int, share: float) -> None:
-        """Limit an attempt to a share of its resources, 0 to 1."""
+        """Limit an attempt to a fraction of its resources, 0 to 1."""
 
     async def stop(self, task: str, attempt: int) -> None:
-        """Stop an attempt and return once it is stopped."""
+        """Stop an attempt and return once it has stopped."""
 
     async def inventory(self) -> Inventory:
-        """Return all attempts that the worker knows of."""
+        """Return all attempts that are known to the worker."""
 
     async def usage(self) -> list[UsageReport]:
-        """Return the newest usage reports."""
+        """Return the latest usage reports."""
 
     async def aclose(self) -> None:
         """Close the link."""
 
 
 class HttpWorker:
-    """A worker over HTTP with JSON.
+    """A worker that is called over HTTP with JSON bodies.
 
     Args:
         address: Address of the worker, as host:port.
-        timeout_s: Seconds after which a call is given up.
+        timeout_s: Timeout of a call, in seconds.
     """
 
     __slots__ = ("_client",)
@@ -179,19 +183,21 @@
                 method, path, content=content
             )
         except httpx.ConnectError as exc:
-            raise errors.LinkRefusedError("the worker refuses") from exc
+            raise errors.LinkRefusedError(
+                "the worker refused the connection"
+            ) from exc
         except httpx.HTTPError as exc:
             raise errors.LinkClosedError(
-                f"the worker does not answer: {exc!r}"
+                f"the call to the worker failed: {exc!r}"
             ) from exc
         if response.status_code >= 500:
             raise errors.LinkClosedError(
-                f"the worker answers {response.status_code}"
+                f"the worker answered with status {response.status_code}"
             )
         return response
 
     async def start(self, command: StartCommand) -> bool:
-        """Start an attempt; False if the worker refuses."""
+        """Start an attempt; return whether the worker accepted it."""
         response = await self._call("POST", "/start", command)
         return response.status_code == 200
 
@@ -209,7 +215,7 @@
         return response.json()["checkpoint"]
 
     async def throttle(self, task: str, attempt: int, share: float) -> None:
-        """Limit an attempt to a share of its resources, 0 to 1."""
+        """Limit an attempt to a fraction of its resources, 0 to 1."""
         await self._call(
             "POST",
             "/throttle",
@@ -217,16 +223,16 @@
         )
 
     async def stop(self, task: str, attempt: int) -> None:
-        """Stop an attempt and return once it is stopped."""
+        """Stop an attempt and return once it has stopped."""
         await self._call("POST", "/stop", {"task": task, "attempt": attempt})
 
     async def inventory(self) -> Inventory:
-        """Return all attempts that the worker knows of."""
+        """Return all attempts that are known to the worker."""
         response = await self._call("GET", "/inventory")
         return rows.from_json(response.content, Inventory)
 
     async def usage(self) -> list[UsageReport]:
-        """Return the newest usage reports."""
+        """Return the latest usage reports."""
         response = await self._call("GET", "/usage")
         return rows.from_json(response.content, list[UsageReport])
 
