--- a/wisteriawood/links/commits.py
+++ b/wisteriawood/links/commits.py
@@ -1,4 +1,4 @@
-"""Group commit: many changes of state in one transaction."""
+"""Group commit: batches many changes of state into one transaction."""
 
 import dataclasses
 import typing
@@ -10,8 +10,8 @@
 from wisteriawood.telemetry import metrics
 
 MAX_CHANGES = 200
-# Least time from one transaction to the next, which bounds the writes a
-# scheduler costs the table.
+# Minimum time between the starts of two transactions; limits the rate of
+# writes that a scheduler sends to the table.
 COMMIT_PERIOD_S = 0.05
 
 
@@ -20,12 +20,12 @@
     """One change of state that waits for its commit.
 
     Attributes:
-        conditions: What must hold.
-        writes: What is written.
-        version: Version of the rows written, once committed.
-        error: Why it was not committed.
+        conditions: Preconditions of the commit.
+        writes: Writes to commit.
+        version: Version of the rows written; set when committed.
+        error: Reason why it was not committed; None if it was.
         done: Set once the outcome is known.
-        notify: Called once the outcome is known, if any.
+        notify: Called once the outcome is known; None for no call.
     """
 
     conditions: list[platforms.Condition]
@@ -37,11 +37,11 @@
 
 
 class GroupCommit:
-    """Collects changes while one transaction is on its way.
+    """Collects changes while the previous transaction is in progress.
 
     Args:
         platform: Link to the platform.
-        counters: Metrics to count commits in, if any.
+        counters: Metrics that count the commits; None to count none.
     """
 
     __slots__ = ("_counters", "_platform", "_waiting", "_wakeup")
@@ -67,9 +67,9 @@
         """Queue one change for the next transaction and return at once.
 
         Args:
-            conditions: What must hold.
-            writes: What is written.
-            notify: Called once the outcome is known.
+            conditions: Preconditions of the commit.
+            writes: Writes to commit.
+            notify: Called once the outcome is known; None for no call.
         """
         change = Change(conditions=conditions, writes=writes, notify=notify)
         self._waiting.append(change)
@@ -82,11 +82,11 @@
         conditions: list[platforms.Condition],
         writes: list[platforms.Write],
     ) -> int:
-        """Commit one change, together with others.
+        """Commit one change in a batch with others.
 
         Args:
-            conditions: What must hold.
-            writes: What is written.
+            conditions: Preconditions of the commit.
+            writes: Writes to commit.
 
         Returns:
             The version of the rows written.
@@ -102,44 +102,45 @@
         return change.version
 
     async def run(self) -> None:
-        """Commit what waits, for ever."""
+        """Commit queued changes until cancelled."""
         while True:
             await self._wakeup.wait()
             self._wakeup = anyio.Event()
             while self._waiting:
                 started_at_s = anyio.current_time()
                 await self._commit_batch(self._take_batch())
-                spent_s = anyio.current_time() - started_at_s
-                await anyio.sleep(max(0.0, COMMIT_PERIOD_S - spent_s))
+                elapsed_s = anyio.current_time() - started_at_s
+                await anyio.sleep(max(0.0, COMMIT_PERIOD_S - elapsed_s))
 
     async def flush(self) -> None:
-        """Return once nothing waits; the caller bounds the time."""
+        """Wait until no change is queued; the caller sets a timeout."""
         while self._waiting:
             await self._waiting[-1].done.wait()
 
     def _take_batch(self) -> list[Change]:
-        # A row written by one change must not be touched by another in
-        # the same transaction: the second would hide the first.
+        # No change in a batch may read or write a row that another one
+        # writes: in one transaction the later change would mask the earlier.
         taken: list[Change] = []
-        left: list[Change] = []
+        deferred: list[Change] = []
         written: set[str] = set()
         checked: set[str] = set()
         for index, change in enumerate(self._waiting):
             if len(taken) >= MAX_CHANGES:
-                left.extend(self._waiting[index:])
+                deferred.extend(self._waiting[index:])
                 break
             writes = {write.key for write in change.writes}
             checks = {condition.key for condition in change.conditions}
-            clash = writes & (written | checked) or checks & written
-            if clash:
-                left.append(change)
-                # Keep the order of changes of one row.
+            conflicting_keys = writes & (written | checked) or checks & written
+            if conflicting_keys:
+                deferred.append(change)
+                # Later changes of the same rows must wait, to keep their
+                # order.
                 checked |= writes | checks
                 continue
             taken.append(change)
             written |= writes
             checked |= checks
-        self._waiting = left
+        self._waiting = deferred
         return taken
 
     async def _commit_batch(self, batch: list[Change]) -> None:
@@ -158,30 +159,31 @@
             if result.committed:
                 self._finish(batch, version=result.version)
                 return
-            kept = self._drop_conflicts(batch, set(result.conflicts))
+            kept = self._fail_conflicting(batch, set(result.conflicts))
             if len(kept) == len(batch):
                 self._finish(
                     kept,
                     error=errors.TransactionConflictError(
-                        "refused by the table without a reason"
+                        "the table refused the transaction but named no "
+                        "conflict"
                     ),
                 )
                 return
             batch = kept
 
-    def _drop_conflicts(
+    def _fail_conflicting(
         self, batch: list[Change], keys: set[str]
     ) -> list[Change]:
         kept = []
         for change in batch:
-            lost = [c.key for c in change.conditions if c.key in keys]
-            if not lost:
+            conflicts = [c.key for c in change.conditions if c.key in keys]
+            if not conflicts:
                 kept.append(change)
                 continue
             self._finish(
                 [change],
                 error=errors.TransactionConflictError(
-                    f"changed by another: {', '.join(lost)}"
+                    f"another transaction changed {', '.join(conflicts)}"
                 ),
             )
         return kept
--- a/wisteriawood/links/configurations.py
+++ b/wisteriawood/links/configurations.py
@@ -1,4 +1,4 @@
-"""The configuration in the platform's table: read, history and apply."""
+"""Reads and writes the configuration and its history in the table."""
 
 import time
 
@@ -11,8 +11,8 @@
 from wisteriawood.links import platforms
 
 SNAPSHOT_PERIOD = 100
-CHANGES_KEPT = 10_000
-READ_TRIES = 5
+RETAINED_CHANGES = 10_000
+MAX_READ_ATTEMPTS = 5
 
 
 async def read_changes(
@@ -25,8 +25,8 @@
 
     Args:
         platform: Link to the platform.
-        after: Version after which they come.
-        limit: Most changes to return.
+        after: Version after which the changes come.
+        limit: Maximum number of changes to return.
 
     Raises:
         PlatformUnavailableError: The table could not be read.
@@ -43,7 +43,7 @@
 async def read_head(
     platform: platforms.Platform,
 ) -> tuple[configurations.ConfigHead, int]:
-    """Return the head and the version of its row; 0 if there is none.
+    """Return the head and the version of its row; 0 if there is no row.
 
     Args:
         platform: Link to the platform.
@@ -60,14 +60,14 @@
 async def read_version(
     platform: platforms.Platform, version: int
 ) -> configurations.ConfigSnapshot:
-    """Return a whole version: its snapshot and the changes since.
+    """Return a complete version: a snapshot with later changes applied.
 
     Args:
         platform: Link to the platform.
         version: Version number.
 
     Raises:
-        NotFoundError: The version is not kept, or does not exist.
+        NotFoundError: The version was pruned or does not exist.
         PlatformUnavailableError: The table could not be read.
     """
     base = version - version % SNAPSHOT_PERIOD
@@ -75,7 +75,9 @@
     if base:
         row = await platform.read(keys.config_snapshot(base))
         if row is None:
-            raise errors.NotFoundError(f"version {version} is not kept")
+            raise errors.NotFoundError(
+                f"version {version} is no longer stored"
+            )
         snapshot = rows.from_value(row.value, configurations.ConfigSnapshot)
     if version > base:
         changes = await read_changes(
@@ -103,20 +105,20 @@
     Raises:
         PlatformUnavailableError: The table could not be read.
     """
-    for _try in range(READ_TRIES):
+    for _attempt in range(MAX_READ_ATTEMPTS):
         head, _row_version = await read_head(platform)
         try:
             return await read_version(platform, head.version)
         except errors.NotFoundError:
             continue
     raise errors.PlatformUnavailableError(
-        "the configuration's rows do not fit together; try again"
+        "the rows of the configuration are inconsistent; try again"
     )
 
 
-def _prunings(version: int) -> list[platforms.Write]:
-    # Rows of one snapshot period, far behind the new snapshot.
-    last = version - CHANGES_KEPT
+def _pruning_writes(version: int) -> list[platforms.Write]:
+    # Deletes one snapshot period of rows, RETAINED_CHANGES versions back.
+    last = version - RETAINED_CHANGES
     if last < SNAPSHOT_PERIOD:
         return []
     old = range(last - SNAPSHOT_PERIOD + 1, last + 1)
@@ -127,7 +129,7 @@
     return writes
 
 
-def _writes(
+def _version_writes(
     change: configurations.ConfigChange, document: configuration.Document
 ) -> list[platforms.Write]:
     head = configurations.ConfigHead(version=change.version)
@@ -148,7 +150,7 @@
                 value=rows.to_value(snapshot),
             )
         )
-        writes.extend(_prunings(change.version))
+        writes.extend(_pruning_writes(change.version))
     return writes
 
 
@@ -160,21 +162,21 @@
     author: str = "",
     note: str = "",
 ) -> int:
-    """Commit a document as the version after the one that it was made from.
+    """Commit a document as the version that follows its base version.
 
     Args:
         platform: Link to the platform.
-        document: The whole new configuration, checked here again.
-        base: Version that the operator saw.
-        author: Who applies it.
-        note: Why.
+        document: The complete new configuration; it is validated again.
+        base: Version that the operator edited.
+        author: Name of the operator.
+        note: Reason for the change.
 
     Returns:
-        The new version; the base itself if nothing differs.
+        The new version; the base version if nothing differs.
 
     Raises:
-        ConfigurationConflictError: Another change came first.
-        SettingsError: The document has an error.
+        ConfigurationConflictError: Another change was committed first.
+        SettingsError: The document is invalid.
         PlatformUnavailableError: Nothing was committed.
     """
     configuration.check(document, file="configuration")
@@ -209,7 +211,7 @@
         conditions=[
             platforms.Condition(key=keys.CONFIG_HEAD, version=row_version)
         ],
-        writes=_writes(change, document),
+        writes=_version_writes(change, document),
     )
     result = await platforms.commit_settled(platform, transaction)
     return result.committed
@@ -219,11 +221,11 @@
     platform: platforms.Platform, base: int
 ) -> errors.ConfigurationConflictError:
     newest = await read_newest(platform)
-    text = f"version {newest.version} is in force, yours is from {base}"
+    text = f"version {newest.version} is current, yours is based on {base}"
     if newest.version < base:
         return errors.ConfigurationConflictError(
-            f"{text}; nothing was applied. Run config show, make your change "
-            "on that and apply again"
+            f"{text}; nothing was applied. Run config show, edit that version "
+            "and apply it again"
         )
     try:
         before = await read_version(platform, base)
@@ -235,9 +237,9 @@
     return errors.ConfigurationConflictError(
         "\n".join(
             [
-                f"{text}; nothing was applied. Changed meanwhile:",
-                *(lines or ["(the older version is not kept)"]),
-                "Run config show, make your change on that and apply again",
+                f"{text}; nothing was applied. Changed since then:",
+                *(lines or ["(the older version is no longer stored)"]),
+                "Run config show, edit that version and apply it again",
             ]
         )
     )
--- a/wisteriawood/links/drains.py
+++ b/wisteriawood/links/drains.py
@@ -1,4 +1,4 @@
-"""Operators' orders to drain hosts, as transactions on the table."""
+"""Requests of operators to drain hosts, stored in the platform's table."""
 
 import time
 
@@ -26,13 +26,13 @@
     *,
     author: str = "",
 ) -> None:
-    """Order a host to drain.
+    """Request that a host be drained.
 
     Args:
         platform: Link to the platform.
         kind: Kind of the host.
         name: Name of the host.
-        author: Who orders it.
+        author: Name of the operator.
 
     Raises:
         NotFoundError: There is no such host.
@@ -40,7 +40,7 @@
     """
     if not await _exists(platform, kind, name):
         raise errors.NotFoundError(
-            f"there is no {kind} host {name!r}; status lists them"
+            f"there is no {kind} host {name!r}; run status to list the hosts"
         )
     value = drains.DrainOrder(
         kind=kind, name=name, author=author, ordered_unix_s=time.time()
@@ -51,7 +51,7 @@
 async def undo(
     platform: platforms.Platform, kind: drains.DrainKind, name: str
 ) -> None:
-    """Take back an order to drain, if there is one.
+    """Withdraw the request to drain a host, if there is one.
 
     Args:
         platform: Link to the platform.
--- a/wisteriawood/links/jobs.py
+++ b/wisteriawood/links/jobs.py
@@ -1,4 +1,4 @@
-"""Operators' orders on tasks, as transactions on the table."""
+"""Requests of operators on tasks, as transactions on the table."""
 
 import time
 
@@ -9,21 +9,21 @@
 from wisteriawood.links import overviews
 from wisteriawood.links import platforms
 
-FIND_TRIES = 5
+MAX_FIND_ATTEMPTS = 5
 
 
 async def submit(
     platform: platforms.Platform, specs: list[tasks.TaskSpec], *, zone: str
 ) -> None:
-    """Submit tasks, all or none.
+    """Submit tasks atomically.
 
     Args:
         platform: Link to the platform.
         specs: The tasks.
-        zone: Availability zone whose schedulers look after them.
+        zone: Availability zone whose schedulers manage the tasks.
 
     Raises:
-        UsageError: An id is taken.
+        UsageError: An id is already in use.
         PlatformUnavailableError: Nothing was submitted.
     """
     ids = [spec.id for spec in specs]
@@ -48,7 +48,7 @@
     if not result.committed:
         taken = ", ".join(key.split("/", 1)[1] for key in result.conflicts)
         raise errors.UsageError(
-            f"nothing was submitted: already taken: {taken}; choose other ids"
+            f"nothing was submitted: ids in use: {taken}; choose other ids"
         )
 
 
@@ -63,11 +63,11 @@
         NotFoundError: There is no such task.
         PlatformUnavailableError: The table could not be read.
     """
-    for _try in range(FIND_TRIES):
-        found = await platform.read(keys.pointer(task_id))
-        if found is None:
+    for _attempt in range(MAX_FIND_ATTEMPTS):
+        pointer_row = await platform.read(keys.pointer(task_id))
+        if pointer_row is None:
             break
-        pointer = rows.from_value(found.value, tasks.TaskPointer)
+        pointer = rows.from_value(pointer_row.value, tasks.TaskPointer)
         row = await platform.read(pointer.key)
         if row is not None:
             return rows.from_value(row.value, tasks.Task)
@@ -78,11 +78,11 @@
 async def find_labelled(
     platform: platforms.Platform, labels: dict[str, str]
 ) -> list[tasks.Task]:
-    """Return the tasks that have not ended and carry all of some labels.
+    """Return the tasks that have not ended and have all given labels.
 
     Args:
         platform: Link to the platform.
-        labels: Labels by key.
+        labels: Values of the labels by key.
 
     Raises:
         PlatformUnavailableError: The table could not be read.
@@ -95,14 +95,14 @@
 
 
 async def cancel(platform: platforms.Platform, task_ids: list[str]) -> None:
-    """Ask for tasks to be cancelled, in one write.
+    """Request that tasks be cancelled, in one transaction.
 
     Args:
         platform: Link to the platform.
         task_ids: Ids of the tasks.
 
     Raises:
-        NotFoundError: There is no such task; none is cancelled.
+        NotFoundError: A task does not exist; none is cancelled.
         PlatformUnavailableError: Nothing was written.
     """
     writes = []
--- a/wisteriawood/links/operators.py
+++ b/wisteriawood/links/operators.py
@@ -14,7 +14,7 @@
 from wisteriawood.links.codecs import rows
 from wisteriawood.telemetry import metrics
 
-ASK_TIMEOUT_S = 2.0
+CALL_TIMEOUT_S = 2.0
 
 Explain = typing.Callable[[str], str]
 Status = typing.Callable[[], typing.Any]
@@ -22,10 +22,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Waiting:
-    """What a scheduler says of a task that may wait.
+    """Answer of a scheduler to the question why a task waits.
 
     Attributes:
-        reason: Why it waits; empty if it does not wait there.
+        reason: Reason why the task waits; empty if it does not wait at
+            this scheduler.
     """
 
     reason: str
@@ -35,17 +36,17 @@
     """Ask a scheduler why a task waits.
 
     Args:
-        address: Where the scheduler serves operators, as host:port.
+        address: Operator address of the scheduler, as host:port.
         task: Id of the task.
 
     Returns:
-        The reason; empty if it does not wait there.
+        The reason; empty if the task does not wait at this scheduler.
 
     Raises:
         LinkClosedError: The scheduler does not answer.
     """
     async with httpx.AsyncClient(
-        timeout=ASK_TIMEOUT_S, trust_env=False, verify=False
+        timeout=CALL_TIMEOUT_S, trust_env=False, verify=False
     ) as client:
         try:
             response = await client.get(f"http://{address}/waiting/{task}")
@@ -78,10 +79,11 @@
 
     Args:
         registry: Metrics of the daemon.
-        ready: Returns why the daemon is not ready; empty if it is.
-        status: Returns a record with the daemon's state.
-        explain: Returns why a task waits; empty if it does not. None
-            where the daemon has no tasks.
+        ready: Returns the reason why the daemon is not ready; empty if it
+            is ready.
+        status: Returns a record with the state of the daemon.
+        explain: Returns the reason why a task waits; empty if it does not
+            wait. None if the daemon has no tasks.
     """
 
     async def _healthz(_request: requests.Request) -> responses.Response:
--- a/wisteriawood/links/overviews.py
+++ b/wisteriawood/links/overviews.py
@@ -1,4 +1,4 @@
-"""What operators see of the whole, read from the platform."""
+"""Overview of the system for operators, read from the platform."""
 
 import collections
 import dataclasses
@@ -13,18 +13,18 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class ZoneOverview:
-    """One availability zone in numbers.
+    """Counts for one availability zone.
 
     Attributes:
         zone: Name of the zone.
-        entry_hosts: Entry daemons that are live.
-        schedulers: Schedulers that are live.
+        entry_hosts: Entry daemons whose state is not GONE.
+        schedulers: Schedulers whose state is not GONE.
         workers: Workers in the host list.
         targets: Targets in the host list, and instances of services
             that run on workers.
         racks_held: Racks that a scheduler holds.
         waiting: Tasks that wait for a worker.
-        placed: Tasks that have a worker.
+        placed: Tasks that are assigned to a worker.
     """
 
     zone: str
@@ -39,16 +39,16 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Overview:
-    """The whole.
+    """State of all zones, daemons, racks and hosts.
 
     Attributes:
         zones: The availability zones.
         members: The daemons.
-        racks: Who holds which rack.
-        workers: The workers of the host list.
-        targets: The targets of the host list.
-        drained: Orders to drain hosts.
-        reasons: Number of waiting tasks by the reason why.
+        racks: Holders of the racks.
+        workers: The workers in the host list.
+        targets: The targets in the host list.
+        drained: Requests to drain hosts.
+        reasons: Number of waiting tasks by the reason why they wait.
     """
 
     zones: list[ZoneOverview]
@@ -80,7 +80,7 @@
 
 
 async def read(platform: platforms.Platform) -> Overview:
-    """Return an overview of all that the table and host list tell.
+    """Return an overview from the platform's table and host list.
 
     Args:
         platform: Link to the platform.
@@ -90,7 +90,7 @@
     """
     members = await _scan(platform, keys.members(), holdings.MemberRow)
     racks = await _scan(platform, keys.RACK, holdings.RackHolding)
-    orders = await _scan(platform, keys.DRAIN, drains.DrainOrder)
+    drain_orders = await _scan(platform, keys.DRAIN, drains.DrainOrder)
     hosts = await platform.hosts()
     found = await list_tasks(platform)
     waiting = [task for task in found if task.state in tasks.WAITING_STATES]
@@ -105,7 +105,7 @@
         racks=racks,
         workers=workers,
         targets=targets,
-        drained=orders,
+        drained=drain_orders,
         reasons=dict(reasons.most_common()),
     )
     overview.zones = _count(overview, found)
--- a/wisteriawood/tests/commands_tests.py
+++ b/wisteriawood/tests/commands_tests.py
@@ -1,4 +1,4 @@
-"""Operators' commands on a platform in memory."""
+"""Tests of the operators' commands, run on an in-memory platform."""
 
 import functools
 import json
@@ -48,7 +48,7 @@
         return link
 
     def run_command(self, line, *, status=0, platform=True):
-        """Run a command line; return what it printed."""
+        """Run a command line, check its exit status and return its output."""
         app = __main__.make_application()
         words = line.split()
         name = " ".join(words[:2]) if app.has(" ".join(words[:2])) else ""
@@ -76,7 +76,7 @@
     def call(self, function, *args, **kwargs):
         return anyio.run(functools.partial(function, *args, **kwargs))
 
-    def test_configuration_is_shown_changed_and_told(self):
+    def test_configuration_can_be_applied_shown_and_listed(self):
         self.write("c.json", {"version": 0} | builders.make_configuration())
         self.assertIn("+ $.teams", self.run_command("config diff c.json"))
         applied = self.run_command("config apply c.json --note first")
@@ -86,25 +86,25 @@
         self.assertEqual(
             shown, json.loads(self.run_command("config show --at 1"))
         )
-        lost = self.run_command("config apply c.json", status=3)
-        self.assertIn("nothing was applied", lost)
-        self.assertIn("$.teams.kroupa", lost)
+        conflict = self.run_command("config apply c.json", status=3)
+        self.assertIn("nothing was applied", conflict)
+        self.assertIn("$.teams.kroupa", conflict)
         self.assertIn("first", self.run_command("config history"))
         self.assertEqual(1, self.run_json("config history")[0]["version"])
 
-    def test_apply_without_a_version_says_what_to_do(self):
+    def test_apply_without_a_version_names_the_option(self):
         self.write("c.json", builders.make_configuration())
-        said = self.run_command("config apply c.json", status=2)
-        self.assertIn("--base VERSION", said)
+        output = self.run_command("config apply c.json", status=2)
+        self.assertIn("--base VERSION", output)
 
-    def test_config_status_tells_who_is_behind_and_who_is_cut_off(self):
+    def test_config_status_shows_outdated_and_partitioned_daemons(self):
         self.write("c.json", builders.make_configuration())
         self.run_command("config apply c.json --base 0")
         self.put_members()
-        said = self.run_command("config status")
-        self.assertRegex(said, r"entry/linz-a-1 .* 1 .*cut off")
-        self.assertRegex(said, r"entry/linz-a-2 .* 1 ")
-        self.assertRegex(said, r"scheduler/linz-a-1 .*none.*behind")
+        output = self.run_command("config status")
+        self.assertRegex(output, r"entry/linz-a-1 .* 1 .*cut off")
+        self.assertRegex(output, r"entry/linz-a-2 .* 1 ")
+        self.assertRegex(output, r"scheduler/linz-a-1 .*none.*behind")
         self.assertEqual(1, self.run_json("config status")["newest"])
 
     def put_members(self):
@@ -132,26 +132,26 @@
         specs = [builders.make_spec(id=name, **fields) for name in names]
         self.call(jobs.submit, self.platform, specs, zone="linz-a")
 
-    def test_status_shows_the_whole(self):
+    def test_status_shows_zones_daemons_and_tasks(self):
         self.put_members()
         self.submit("job-1")
-        said = self.run_command("status")
+        output = self.run_command("status")
         for word in ("linz-a", "entry/linz-a-2", "1 tasks wait"):
-            self.assertIn(word, said)
+            self.assertIn(word, output)
         self.assertEqual(1, self.run_json("status")["zones"][0]["waiting"])
         self.assertIn("pending", self.run_command("status job-1"))
 
-    def test_cancel_by_label_takes_all_labels(self):
+    def test_cancel_requires_all_labels_to_match(self):
         self.submit("a", "b", labels={"kind": "night", "run": "1"})
         self.submit("c", labels={"kind": "day", "run": "1"})
-        said = self.run_json("cancel --label kind=night --label run=1")
-        self.assertEqual(["a", "b"], said)
+        output = self.run_json("cancel --label kind=night --label run=1")
+        self.assertEqual(["a", "b"], output)
         self.assertIn(keys.cancel("linz-a", "a"), self.platform.table)
         self.assertNotIn(keys.cancel("linz-a", "c"), self.platform.table)
         self.run_command("cancel --label kind=none", status=2)
         self.run_command("cancel --label kind", status=2)
 
-    def test_explain_tells_why_a_task_waits(self):
+    def test_explain_shows_why_a_task_waits(self):
         self.submit("job-1")
         self.assertIn("waits:", self.run_command("explain job-1"))
         self.run_command("explain nothing", status=4)
@@ -163,10 +163,10 @@
             with tracer.span("target", traceparent=parent, target="t-1"):
                 pass
         tracer.close()
-        said = self.run_command("explain r-1 --records .", platform=False)
-        self.assertRegex(said, r"target +entry/a .*t-1")
+        output = self.run_command("explain r-1 --records .", platform=False)
+        self.assertRegex(output, r"target +entry/a .*t-1")
 
-    def test_report_is_one_page_and_needs_records(self):
+    def test_report_is_one_page_and_requires_records(self):
         tracer = spans.Tracer(service="entry/a", path="a.spans")
         with tracer.span("entry", id="r-1"):
             pass
@@ -176,19 +176,19 @@
             self.assertIn("data:image/png", stream.read())
         self.run_command("report", status=2, platform=False)
         with mock.patch.dict("sys.modules", {"matplotlib": None}):
-            said = self.run_command(
+            output = self.run_command(
                 "report --records .", status=2, platform=False
             )
-        self.assertIn("wisteriawood[report]", said)
+        self.assertIn("wisteriawood[report]", output)
 
-    def test_lines_that_are_no_records_are_passed_over(self):
+    def test_lines_that_are_not_records_are_skipped(self):
         with open("x.events", "w", encoding="utf-8") as stream:
             stream.write('{"message_type": "W1503:x", "timest\n[]\n1\nfoo\n')
         self.assertEqual(([], []), records.read(["x.events"]))
         with self.assertRaises(errors.UsageError):
             records.read(["nothing"])
 
-    def test_watch_ends_with_the_tasks(self):
+    def test_watch_exits_when_tasks_have_ended(self):
         self.submit("job-1")
         task = self.call(jobs.find, self.platform, "job-1")
         task.state = tasks.TaskState.FINISHED
@@ -199,7 +199,7 @@
         self.assertIn("1/1 1 finished", self.run_command("watch job-1"))
         self.run_command("watch", status=2)
 
-    def test_drain_needs_a_host_that_exists(self):
+    def test_drain_requires_an_existing_host(self):
         self.put_members()
         self.run_command("drain entry linz-a-1")
         self.assertIn("draining: entry", self.run_command("status"))
@@ -217,7 +217,7 @@
 
 class TablesTests(unittest.TestCase):
 
-    def test_wide_columns_are_cut_to_fit(self):
+    def test_wide_columns_are_truncated(self):
         lines = tables.lay_out(["a", "b"], [["x" * 100, "y" * 90]])
         self.assertTrue(all(len(line) <= 80 for line in lines))
         self.assertIn("~", lines[1])
@@ -226,7 +226,7 @@
 
 class DrainTests(unittest.TestCase):
 
-    def test_drained_hosts_get_nothing_new_until_it_is_undone(self):
+    def test_drained_hosts_get_no_new_work_until_undone(self):
         async def _check(world):
             world.add_worker(builders.make_worker_host())
             entries = builders.add_entries(world, ["linz-a-1", "linz-a-10"])
--- a/wisteriawood/tests/configuration_tests.py
+++ b/wisteriawood/tests/configuration_tests.py
@@ -1,4 +1,4 @@
-"""The configuration: checks, patches, races and followers."""
+"""Tests of the configuration: checks, patches, conflicts, followers."""
 
 import unittest
 
@@ -30,7 +30,7 @@
         for word in ("x.json", *words):
             self.assertIn(word, str(caught.exception))
 
-    def test_errors_name_path_found_and_remedy(self):
+    def test_errors_contain_path_found_value_and_remedy(self):
         service = {"deadline_ms": 0}
         self.check_fails(
             {"teams": {"a": {"services": {"shop": service}}}},
@@ -49,7 +49,7 @@
             {"teams": {"a": {"weights": {"evictions": 11}}}}, "at most 10"
         )
 
-    def test_typed_object_has_what_the_document_says(self):
+    def test_parsed_configuration_matches_document(self):
         document = builders.make_configuration(deadline_ms=250)
         found = configuration.parse(document, version=3)
         service = found.service("kroupa", "shop")
@@ -66,7 +66,7 @@
         strategies.dictionaries(WORDS, DOCUMENTS, max_size=3),
     )
     @hypothesis.settings(derandomize=True, database=None, deadline=None)
-    def test_patch_leads_from_one_document_to_the_other(self, one, other):
+    def test_patch_turns_one_document_into_the_other(self, one, other):
         patch = patches.make(one, other)
         self.assertEqual(other, patches.apply(one, patch))
         self.assertEqual(one == other, not patch)
@@ -78,7 +78,7 @@
     def run_on_platform(self, function):
         builders.run_virtual(function, platform_standins.MemoryPlatform())
 
-    def test_versions_are_read_back_across_snapshots(self):
+    def test_versions_can_be_read_across_snapshots(self):
         async def _check(platform):
             for number in range(205):
                 document = builders.make_configuration(deadline_ms=number + 1)
@@ -99,36 +99,38 @@
         self.run_on_platform(_check)
 
     def test_old_changes_are_pruned_with_their_snapshots(self):
-        writes = configurations._prunings(10_300)
+        writes = configurations._pruning_writes(10_300)
         keys = [write.key for write in writes]
         self.assertEqual(101, len(keys))
         self.assertEqual("config/version/000000000201", keys[0])
         self.assertEqual("config/snapshot/000000000200", keys[-1])
 
-    def test_one_of_two_operators_wins_and_the_other_sees_the_diff(self):
+    def test_concurrent_apply_conflicts_and_reports_the_difference(self):
         async def _check(platform):
-            lost = []
+            conflicts = []
 
             async def _apply(deadline_ms):
                 document = builders.make_configuration(deadline_ms=deadline_ms)
                 try:
                     await configurations.apply(platform, document, base=0)
                 except errors.ConfigurationConflictError as exc:
-                    lost.append(str(exc))
+                    conflicts.append(str(exc))
 
             platform.faults.slow_s = 0.1
             async with anyio.create_task_group() as group:
                 group.start_soon(_apply, 100)
                 group.start_soon(_apply, 200)
-            self.assertEqual(1, len(lost))
-            self.assertIn("$.teams.kroupa.services.shop.deadline_ms", lost[0])
+            self.assertEqual(1, len(conflicts))
+            self.assertIn(
+                "$.teams.kroupa.services.shop.deadline_ms", conflicts[0]
+            )
             newest = await configurations.read_newest(platform)
             self.assertEqual(1, newest.version)
 
         self.run_on_platform(_check)
         self.assertEqual(3, errors.ConfigurationConflictError.exit_code)
 
-    def test_nothing_is_committed_if_nothing_differs(self):
+    def test_unchanged_document_is_not_committed(self):
         async def _check(platform):
             document = builders.make_configuration()
             self.assertEqual(
@@ -140,7 +142,7 @@
 
         self.run_on_platform(_check)
 
-    def test_pages_of_changes_are_bounded(self):
+    def test_changes_since_a_snapshot_fit_in_one_scan(self):
         self.assertLessEqual(
             configurations.SNAPSHOT_PERIOD, platforms.SCAN_LIMIT
         )
@@ -148,7 +150,7 @@
 
 class FollowerTests(unittest.TestCase):
 
-    def test_unknown_team_is_refused_once_there_is_a_configuration(self):
+    def test_unknown_team_is_refused_once_a_configuration_is_loaded(self):
         async def _check(world):
             entry = builders.add_entries(world, ["linz-a-1"])["linz-a-1"]
             await anyio.sleep(2)
@@ -164,7 +166,7 @@
 
         builders.run_world(_check)
 
-    def test_start_without_any_source_is_not_ready_and_says_so(self):
+    def test_daemons_without_a_configuration_report_not_ready(self):
         async def _check(world):
             world.platform.faults.down = True
             entry = builders.add_entries(world, ["linz-a-1"])["linz-a-1"]
@@ -177,7 +179,7 @@
 
         builders.run_world(_check)
 
-    def test_status_tells_versions_of_cut_off_hosts_through_their_peers(self):
+    def test_member_row_contains_versions_of_partitioned_peers(self):
         async def _check(world):
             entries = builders.add_entries(world, ["linz-a-1", "linz-a-2"])
             await anyio.sleep(5)
--- a/wisteriawood/tests/operators_tests.py
+++ b/wisteriawood/tests/operators_tests.py
@@ -1,4 +1,4 @@
-"""The front end for operators: health, readiness and reasons."""
+"""Tests of the front end for operators and of the explain command."""
 
 import unittest
 from unittest import mock
@@ -33,26 +33,30 @@
 
 class OperatorsTests(unittest.TestCase):
 
-    def test_daemon_that_is_not_ready_says_why(self):
+    def test_readyz_returns_reason_if_not_ready(self):
         response = _get("/readyz")
         self.assertEqual(503, response.status_code)
         self.assertEqual("draining\n", response.text)
 
-    def test_daemon_that_is_not_ready_lives(self):
+    def test_healthz_is_ok_if_not_ready(self):
         self.assertEqual(200, _get("/healthz").status_code)
 
-    def test_scheduler_says_why_a_task_waits(self):
+    def test_waiting_returns_reason(self):
         response = _get("/waiting/a", explain=lambda task: f"{task} is big")
         self.assertEqual({"reason": "a is big"}, response.json())
 
-    def test_daemon_without_tasks_gives_no_reason(self):
+    def test_waiting_has_no_reason_if_daemon_has_no_tasks(self):
         self.assertEqual({"reason": ""}, _get("/waiting/a").json())
 
 
 class ExplainTests(unittest.TestCase):
 
-    def ask(self, answers):
-        """Return what is explained of a task that waits in linz-a."""
+    def explain_task(self, answers):
+        """Return the reason found for a task that waits in linz-a.
+
+        Args:
+            answers: Answers, or exceptions, by address of the scheduler.
+        """
 
         async def _answer(*, address, task):
             answer = answers[address]
@@ -74,9 +78,11 @@
 
         return anyio.run(_main)
 
-    def test_dead_scheduler_is_passed_over(self):
+    def test_dead_scheduler_is_skipped(self):
         dead = errors.LinkClosedError("gone")
-        self.assertEqual("full", self.ask({"a:1": dead, "b:1": "full"}))
+        self.assertEqual(
+            "full", self.explain_task({"a:1": dead, "b:1": "full"})
+        )
 
-    def test_no_scheduler_knows_the_task(self):
-        self.assertEqual("", self.ask({"a:1": "", "b:1": ""}))
+    def test_reason_is_empty_if_no_scheduler_knows_the_task(self):
+        self.assertEqual("", self.explain_task({"a:1": "", "b:1": ""}))
