--- a/wisteriawood/links/codecs/__init__.py
+++ b/wisteriawood/links/codecs/__init__.py
@@ -1,1 +1,1 @@
-"""Encoding of messages and rows as bytes."""
+"""Encoding and decoding of messages and rows."""
--- a/wisteriawood/links/codecs/cbor.py
+++ b/wisteriawood/links/codecs/cbor.py
@@ -1,4 +1,4 @@
-"""Messages between processes, as CBOR."""
+"""CBOR encoding of messages between processes."""
 
 import typing
 
@@ -12,16 +12,17 @@
 
 
 def encode(message: typing.Any) -> bytes:
-    """Return a registered message as bytes."""
+    """Return the encoding of a message of a registered type."""
     body = msgspec.to_builtins(message, builtin_types=(bytes,))
     return cbor2.dumps([_NAMES[type(message)], body])
 
 
 def decode(data: bytes) -> typing.Any:
-    """Return the message that bytes hold.
+    """Return the message that the bytes encode.
 
     Raises:
-        MessageError: The bytes are no registered message.
+        MessageError: The bytes do not encode a message of a registered
+            type.
     """
     try:
         name, body = cbor2.loads(data)
--- a/wisteriawood/links/codecs/jobs.py
+++ b/wisteriawood/links/codecs/jobs.py
@@ -1,7 +1,7 @@
-"""Jobs as bytes of rows in the store.
+"""Encoding of jobs as rows of the store.
 
-The tasks are written as short lists, since a row is written anew with
-each change of its job.
+Tasks are encoded as short lists to keep rows small, since every change of a
+job writes its whole row again.
 """
 
 import typing
@@ -17,7 +17,7 @@
 
 
 def spec_to_bytes(spec: specs.JobSpec, cell: str) -> bytes:
-    """Return the row of a job's specification.
+    """Encode the specification of a job as the value of a row.
 
     Args:
         spec: The specification.
@@ -27,17 +27,17 @@
 
 
 def spec_from_bytes(data: bytes) -> tuple[str, specs.JobSpec]:
-    """Return the cell and specification that a row holds.
+    """Return the cell and the specification of a job from its row.
 
     Raises:
-        MessageError: The row can't be read.
+        MessageError: The row can't be decoded.
     """
     try:
         _format, cell, value = msgspec.json.decode(data)
         return cell, msgspec.convert(value, specs.JobSpec)
     except (msgspec.DecodeError, ValueError, TypeError) as exc:
         raise errors.MessageError(
-            f"bad specification of a job: {exc}"
+            f"invalid specification of a job: {exc}"
         ) from exc
 
 
@@ -54,7 +54,7 @@
 
 
 def job_to_bytes(job: jobs.Job) -> bytes:
-    """Return the row of a job's progress.
+    """Encode the progress of a job as the value of a row.
 
     Args:
         job: The job.
@@ -84,26 +84,26 @@
 
 
 def job_from_bytes(spec: specs.JobSpec, bucket: str, data: bytes) -> jobs.Job:
-    """Return the job whose progress a row holds.
+    """Return a job with the progress that its row contains.
 
     Args:
-        spec: Its specification.
+        spec: Specification of the job.
         bucket: Partition of the row.
-        data: The row.
+        data: Value of the row.
 
     Raises:
-        MessageError: The row can't be read.
+        MessageError: The row can't be decoded.
     """
     try:
-        _format, cell, state, ended, following, done, found = (
+        _format, cell, state, ended, next_occurrence, done, occurrences = (
             msgspec.json.decode(data)
         )
         job = jobs.Job(spec=spec, cell=cell, bucket=bucket)
         job.state = jobs.JobState(state)
         job.ended_unix_ms = ended
-        job.next_occurrence = following
+        job.next_occurrence = next_occurrence
         job.occurrences_done = done
-        for number, steps in found.items():
+        for number, steps in occurrences.items():
             job.open_occurrence(int(number))
             for step, values in enumerate(steps):
                 for task, value in zip(
@@ -111,18 +111,18 @@
                 ):
                     _read_task(task, value)
     except (msgspec.DecodeError, ValueError, TypeError, LookupError) as exc:
-        raise errors.MessageError(f"bad progress of a job: {exc}") from exc
+        raise errors.MessageError(f"invalid progress of a job: {exc}") from exc
     return job
 
 
 def summary_from_bytes(data: bytes) -> tuple[str, jobs.JobState]:
-    """Return the cell and state that a row of progress holds.
+    """Return the cell and the state of a job from its progress row.
 
     Raises:
-        MessageError: The row can't be read.
+        MessageError: The row can't be decoded.
     """
     try:
         _format, cell, state, *_rest = msgspec.json.decode(data)
         return cell, jobs.JobState(state)
     except (msgspec.DecodeError, ValueError, TypeError) as exc:
-        raise errors.MessageError(f"bad progress of a job: {exc}") from exc
+        raise errors.MessageError(f"invalid progress of a job: {exc}") from exc
--- a/wisteriawood/links/codecs/rows.py
+++ b/wisteriawood/links/codecs/rows.py
@@ -1,4 +1,4 @@
-"""Records as JSON values, for table rows and HTTP bodies."""
+"""JSON encoding of records, for table rows and HTTP bodies."""
 
 import typing
 
@@ -10,24 +10,24 @@
 
 
 def to_value(record: typing.Any) -> typing.Any:
-    """Return a record as a JSON value; bytes become base64 text."""
+    """Return a record as a JSON value; bytes are encoded as base64 text."""
     return msgspec.to_builtins(record)
 
 
 def from_value(value: typing.Any, cls: type[Record]) -> Record:
-    """Return the record that a JSON value holds.
+    """Return the record that a JSON value represents.
 
     Args:
         value: The JSON value.
         cls: Type of the record.
 
     Raises:
-        MessageError: The value does not fit the type.
+        MessageError: The value does not match the type.
     """
     try:
         return msgspec.convert(value, cls)
     except msgspec.ValidationError as exc:
-        raise errors.MessageError(f"bad {cls.__name__}: {exc}") from exc
+        raise errors.MessageError(f"invalid {cls.__name__}: {exc}") from exc
 
 
 def to_json(record: typing.Any) -> bytes:
@@ -36,16 +36,17 @@
 
 
 def from_json(data: bytes, cls: type[Record]) -> Record:
-    """Return the record that JSON text holds.
+    """Return the record that JSON text represents.
 
     Args:
         data: The text.
         cls: Type of the record.
 
     Raises:
-        MessageError: The text is no JSON or does not fit the type.
+        MessageError: The text is not valid JSON or does not match the
+            type.
     """
     try:
         return msgspec.json.decode(data, type=cls)
     except msgspec.DecodeError as exc:
-        raise errors.MessageError(f"bad {cls.__name__}: {exc}") from exc
+        raise errors.MessageError(f"invalid {cls.__name__}: {exc}") from exc
