--- a/wisteriawood/tests/faults/config_tests.py
+++ b/wisteriawood/tests/faults/config_tests.py
@@ -1,4 +1,4 @@
-"""Faults x steps of a change of the configuration."""
+"""Injects each fault at each step of a configuration change."""
 
 import itertools
 import unittest
@@ -31,7 +31,7 @@
 FAULTS = registry.Registry(kind="fault")
 
 
-class Scene:
+class ConfigChangeScenario:
     """Four entry hosts, one cut off from the platform, and an operator."""
 
     def __init__(self, *, world):
@@ -41,14 +41,14 @@
         self.entries = builders.add_entries(world, NAMES)
         self.processes = {n: world.processes[f"entry/{n}"] for n in NAMES}
         self.violations = []
-        self.reached = dict.fromkeys(STEPS, None)
-        self.highest = {}
-        self.accepted = {}
+        self.step_events = dict.fromkeys(STEPS, None)
+        self.highest_versions = {}
+        self.accepted_deadlines = {}
         for pair in itertools.permutations(self.processes, 2):
             ends = tuple(f"entry/{name}" for name in pair)
             world.delays_s[ends] = LINK_DELAY_S
         for step in STEPS:
-            self.reached[step] = anyio.Event()
+            self.step_events[step] = anyio.Event()
 
     async def start(self):
         await configurations.apply(
@@ -59,7 +59,7 @@
         await anyio.sleep(4.3)
 
     async def restart(self, name):
-        """Replace a process; its host forgets all."""
+        """Kill a process and start one without its state in its place."""
         self.processes[name].kill()
         member = self.entries[name].membership.own
         self.entries[name] = builders.add_entries(
@@ -67,7 +67,7 @@
         )[name]
         assert member.name == name
         self.processes[name] = self.world.processes[f"entry/{name}"]
-        self.highest.pop(name, None)
+        self.highest_versions.pop(name, None)
 
     def addresses(self, name):
         return [
@@ -77,26 +77,26 @@
         ]
 
     async def watch(self, name):
-        """Check a host's version whenever it changes; note the steps."""
+        """Check the version of a host at each change; record the steps."""
         while True:
             follower = self.entries[name].configuration
             changed = follower.changed
             version = follower.version
-            if version < self.highest.get(name, -1):
-                self.violations.append(f"{name} went down to {version}")
-            self.highest[name] = version
+            if version < self.highest_versions.get(name, -1):
+                self.violations.append(f"{name} reverted to version {version}")
+            self.highest_versions[name] = version
             if version >= 2:
-                self.note("applied" if name == CUT else "polled")
+                self.record_step("applied" if name == CUT else "polled")
             with anyio.move_on_after(1.0):
                 await changed.wait()
 
-    def note(self, step):
-        self.reached[step].set()
+    def record_step(self, step):
+        self.step_events[step].set()
 
     async def change(self, deadline_ms, base=1):
-        """Apply a change as an operator and note what he was told."""
+        """Apply a change as an operator; record the version returned."""
         document = builders.make_configuration(deadline_ms=deadline_ms)
-        platform = Steps(scene=self, inner=self.platform)
+        platform = RecordingPlatform(scenario=self, inner=self.platform)
         while True:
             try:
                 version = await configurations.apply(
@@ -107,23 +107,27 @@
                 continue
             except errors.ConfigurationConflictError:
                 break
-            if version in self.accepted:
-                self.violations.append(f"two were told of version {version}")
-            self.accepted[version] = deadline_ms
+            if version in self.accepted_deadlines:
+                self.violations.append(
+                    f"two operators received version {version}"
+                )
+            self.accepted_deadlines[version] = deadline_ms
             break
-        self.note("acknowledged")
+        self.record_step("acknowledged")
 
     async def inject(self, step, fault):
-        await self.reached["polled" if step == "passed on" else step].wait()
+        await self.step_events[
+            "polled" if step == "passed on" else step
+        ].wait()
         if step == "passed on":
             await anyio.sleep(LINK_DELAY_S / 2)
-            self.note("passed on")
+            self.record_step("passed on")
         await FAULTS.get(fault)(self)
 
     async def restart_when_applied(self):
-        await self.reached["applied"].wait()
+        await self.step_events["applied"].wait()
         await self.restart(CUT)
-        self.note("restarted")
+        self.record_step("restarted")
 
     async def run(self, step, fault):
         await self.start()
@@ -135,25 +139,25 @@
                 self.group.start_soon(self.restart_when_applied)
             await self.change(700)
             for _second in range(60):
-                if self.reached[step].is_set():
+                if self.step_events[step].is_set():
                     break
                 await anyio.sleep(1)
             await anyio.sleep(FAULT_S + SETTLE_S)
             self.group.cancel_scope.cancel()
-        if not self.reached[step].is_set():
-            self.violations.append(f"never {step}")
+        if not self.step_events[step].is_set():
+            self.violations.append(f"did not reach step {step}")
         await self.check()
 
     async def check(self):
         newest = await configurations.read_newest(self.platform)
-        for version, deadline_ms in self.accepted.items():
+        for version, deadline_ms in self.accepted_deadlines.items():
             kept = await configurations.read_version(self.platform, version)
             found = kept.document["teams"]["kroupa"]["services"]["shop"]
             if found["deadline_ms"] != deadline_ms:
                 self.violations.append(f"version {version} was overwritten")
-        if newest.version != max(self.accepted, default=1):
+        if newest.version != max(self.accepted_deadlines, default=1):
             self.violations.append(
-                "a change is in force, its operator not told"
+                "a change is in force, but was not acknowledged"
             )
         for name, entry in self.entries.items():
             current = entry.configuration.current
@@ -162,124 +166,124 @@
             service = current.service("kroupa", "shop")
             wanted = newest.document["teams"]["kroupa"]["services"]["shop"]
             if service and service.deadline_ms != wanted["deadline_ms"]:
-                self.violations.append(f"{name} has another content")
+                self.violations.append(f"{name} has different content")
 
 
-class Steps:
-    """The platform as the operator sees it; notes the steps."""
+class RecordingPlatform:
+    """Link of the operator to the platform that records the steps."""
 
-    def __init__(self, *, scene, inner):
-        self.scene = scene
+    def __init__(self, *, scenario, inner):
+        self.scenario = scenario
         self.inner = inner
 
     def __getattr__(self, name):
         return getattr(self.inner, name)
 
     async def commit(self, transaction):
-        self.scene.note("proposed")
+        self.scenario.record_step("proposed")
         await anyio.sleep(0.01)
         try:
             return await self.inner.commit(transaction)
         finally:
             if configurations.keys.CONFIG_HEAD in self.inner.table:
-                self.scene.note("committed")
+                self.scenario.record_step("committed")
             await anyio.sleep(0.01)
 
 
 @FAULTS.register("platform down")
-async def take_platform_down(scene):
-    scene.platform.faults.down = True
+async def take_platform_down(scenario):
+    scenario.platform.faults.down = True
     await anyio.sleep(FAULT_S)
-    scene.platform.faults.down = False
+    scenario.platform.faults.down = False
 
 
 @FAULTS.register("platform slow")
-async def slow_platform(scene):
-    scene.platform.faults.slow_s = 1.5
+async def slow_platform(scenario):
+    scenario.platform.faults.slow_s = 1.5
     await anyio.sleep(FAULT_S)
-    scene.platform.faults.slow_s = 0.0
+    scenario.platform.faults.slow_s = 0.0
 
 
 @FAULTS.register("answers lost")
-async def lose_answers(scene):
-    scene.platform.faults.answers_lost = 3
+async def lose_answers(scenario):
+    scenario.platform.faults.answers_lost = 3
 
 
 @FAULTS.register("peers cut")
-async def cut_peers(scene):
+async def cut_peers(scenario):
     pairs = [(f"entry/{CUT}", f"entry/{name}") for name in NAMES[1:]]
     for pair in pairs:
-        scene.world.cut(*pair)
+        scenario.world.cut(*pair)
     await anyio.sleep(FAULT_S)
     for pair in pairs:
-        scene.world.mend(*pair)
+        scenario.world.mend(*pair)
 
 
 @FAULTS.register("all cut off from the platform")
-async def cut_all(scene):
+async def cut_all(scenario):
     pairs = [(f"entry/{name}", "platform") for name in NAMES[1:]]
     for pair in pairs:
-        scene.world.cut(*pair)
+        scenario.world.cut(*pair)
     await anyio.sleep(FAULT_S)
     for pair in pairs:
-        scene.world.mend(*pair)
+        scenario.world.mend(*pair)
 
 
 @FAULTS.register("cut-off host replaced")
-async def replace_cut_off(scene):
-    await scene.restart(CUT)
+async def replace_cut_off(scenario):
+    await scenario.restart(CUT)
 
 
 @FAULTS.register("other host replaced")
-async def replace_other(scene):
-    await scene.restart(NAMES[1])
+async def replace_other(scenario):
+    await scenario.restart(NAMES[1])
 
 
 @FAULTS.register("cut-off host frozen")
-async def freeze_cut_off(scene):
-    scene.processes[CUT].freeze()
+async def freeze_cut_off(scenario):
+    scenario.processes[CUT].freeze()
     await anyio.sleep(FAULT_S)
-    scene.processes[CUT].wake()
+    scenario.processes[CUT].wake()
 
 
 @FAULTS.register("other host frozen")
-async def freeze_other(scene):
-    scene.processes[NAMES[1]].freeze()
+async def freeze_other(scenario):
+    scenario.processes[NAMES[1]].freeze()
     await anyio.sleep(FAULT_S)
-    scene.processes[NAMES[1]].wake()
+    scenario.processes[NAMES[1]].wake()
 
 
 @FAULTS.register("another operator")
-async def race(scene):
-    newest = await configurations.read_newest(scene.platform)
-    await scene.change(900, base=newest.version)
+async def race(scenario):
+    newest = await configurations.read_newest(scenario.platform)
+    await scenario.change(900, base=newest.version)
 
 
 @FAULTS.register("old messages replayed")
-async def replay(scene):
-    snapshot = await configurations.read_version(scene.platform, 1)
+async def replay(scenario):
+    snapshot = await configurations.read_version(scenario.platform, 1)
     offer = messages.ConfigOffer(snapshot=snapshot)
     changes = messages.ConfigChanges(
         changes=await configurations.read_changes(
-            scene.platform, after=0, limit=1
+            scenario.platform, after=0, limit=1
         )
     )
     for _time in range(2):
-        for entry in scene.entries.values():
+        for entry in scenario.entries.values():
             for peer in list(entry.peering.peers.values()):
                 peer.start(peer.send, changes)
                 peer.start(peer.send, offer)
         await anyio.sleep(1)
 
 
-def run_cell(step, fault):
-    """Run one cell and return its violations."""
+def run_case(step, fault):
+    """Run one step with one fault and return the violations found."""
     found = []
 
     async def _check(world):
-        scene = Scene(world=world)
-        await scene.run(step, fault)
-        found.extend(scene.violations)
+        scenario = ConfigChangeScenario(world=world)
+        await scenario.run(step, fault)
+        found.extend(scenario.violations)
 
     builders.run_world(_check)
     return found
@@ -290,52 +294,52 @@
     def check_fault(self, fault):
         for step in STEPS:
             with self.subTest(fault=fault, step=step):
-                self.assertEqual([], run_cell(step, fault))
+                self.assertEqual([], run_case(step, fault))
 
 
-def _add_cells(fault):
+def _add_cases(fault):
     name = f"test_{fault.replace(' ', '_').replace('-', '_')}"
     setattr(MatrixTests, name, lambda self: self.check_fault(fault))
 
 
 for _fault in FAULTS.names():
-    _add_cells(_fault)
+    _add_cases(_fault)
 
 
 class ProofTests(unittest.TestCase):
-    """Each mechanism: the same cell fails without it, passes with it."""
+    """Shows that a case fails without a mechanism and passes with it."""
 
     def check_mechanism(self, step, fault, violation, **off):
         with mock.patch.object(**off):
-            found = run_cell(step, fault)
+            found = run_case(step, fault)
         self.assertIn(violation, found)
-        self.assertEqual([], run_cell(step, fault))
+        self.assertEqual([], run_case(step, fault))
 
-    def test_passing_on_reaches_hosts_cut_off_from_the_platform(self):
+    def test_forwarding_reaches_hosts_cut_off_from_the_platform(self):
         self.check_mechanism(
             "polled",
             "answers lost",
             f"{CUT} has 1",
             target=followers.Follower,
-            attribute="take_changes",
-            new=_take_polled_changes_only,
+            attribute="apply_changes",
+            new=_apply_polled_changes_only,
         )
 
-    def test_only_higher_versions_are_taken(self):
+    def test_only_higher_versions_are_applied(self):
         self.check_mechanism(
             "applied",
             "old messages replayed",
-            f"{CUT} went down to 1",
+            f"{CUT} reverted to version 1",
             target=followers.Follower,
-            attribute="_take_snapshot",
-            new=_take_any_snapshot,
+            attribute="_apply_snapshot",
+            new=_apply_any_snapshot,
         )
 
     def test_commit_is_conditional_on_the_version_seen(self):
         self.check_mechanism(
             "proposed",
             "another operator",
-            "two were told of version 2",
+            "two operators received version 2",
             target=configurations.platforms,
             attribute="commit_settled",
             new=_commit_unconditionally,
@@ -345,25 +349,25 @@
         self.check_mechanism(
             "proposed",
             "answers lost",
-            "a change is in force, its operator not told",
+            "a change is in force, but was not acknowledged",
             target=configurations.platforms,
             attribute="commit_settled",
-            new=_commit_anew,
+            new=_commit_with_new_id,
         )
 
 
-_TAKE_CHANGES = followers.Follower.take_changes
-_TAKE_SNAPSHOT = followers.Follower._take_snapshot
+_APPLY_CHANGES = followers.Follower.apply_changes
+_APPLY_SNAPSHOT = followers.Follower._apply_snapshot
 
 
-def _take_polled_changes_only(self, changes):
+def _apply_polled_changes_only(self, changes):
     if not self._links.follows_peers:
-        _TAKE_CHANGES(self, changes)
+        _APPLY_CHANGES(self, changes)
 
 
-def _take_any_snapshot(self, snapshot):
+def _apply_any_snapshot(self, snapshot):
     self.current.version = -1
-    _TAKE_SNAPSHOT(self, snapshot)
+    _APPLY_SNAPSHOT(self, snapshot)
 
 
 async def _commit_unconditionally(platform, transaction):
@@ -371,7 +375,7 @@
     return await platform.commit(transaction)
 
 
-async def _commit_anew(platform, transaction):
+async def _commit_with_new_id(platform, transaction):
     while True:
         try:
             return await platform.commit(transaction)
--- a/wisteriawood/tests/peering_tests.py
+++ b/wisteriawood/tests/peering_tests.py
@@ -12,7 +12,7 @@
 
 
 def links(entries):
-    """Return (from, to) of each end of each open link."""
+    """Return the names (own, peer) of both ends of each open link."""
     return sorted(
         (name, peer.member.name)
         for name, entry in entries.items()
@@ -61,7 +61,7 @@
 
         builders.run_world(_check)
 
-    def test_restarted_peer_is_linked_anew(self):
+    def test_restarted_peer_is_linked_again(self):
         async def _check(world):
             entries = builders.add_entries(world, NAMES[:2])
             await anyio.sleep(5)
--- a/wisteriawood/zones/claims.py
+++ b/wisteriawood/zones/claims.py
@@ -1,4 +1,4 @@
-"""Claims: which scheduler takes which rack."""
+"""Claims: which scheduler may claim which rack, and the claim itself."""
 
 import dataclasses
 import hashlib
@@ -14,12 +14,12 @@
 from wisteriawood.zones import membership
 
 
-def _weight(member: str, item: str) -> bytes:
+def _rendezvous_weight(member: str, item: str) -> bytes:
     return hashlib.blake2b(f"{member}/{item}".encode()).digest()
 
 
 def is_preferred(watcher: membership.Membership, item: str) -> bool:
-    """Tell whether rendezvous hashing gives an item to this scheduler.
+    """Return whether rendezvous hashing assigns an item to this scheduler.
 
     Args:
         watcher: Membership of this scheduler.
@@ -32,19 +32,21 @@
         if member.state == holdings.HostState.LIVE
     }
     names.add(own.name)
-    return own.name == max(names, key=lambda name: _weight(name, item))
+    return own.name == max(
+        names, key=lambda name: _rendezvous_weight(name, item)
+    )
 
 
 def rank(names: set[str], own: str, item: str) -> int:
-    """Return the place of a member in the order of an item, from 0.
+    """Return the rank of a member in the rendezvous order of an item, from 0.
 
     Args:
-        names: Names of all members that could take the item.
-        own: Name of the member whose place is asked for.
+        names: Names of all members that the item may be assigned to.
+        own: Name of the member to rank.
         item: Name of the item.
     """
-    weight = _weight(own, item)
-    return sum(1 for name in names if _weight(name, item) > weight)
+    weight = _rendezvous_weight(own, item)
+    return sum(1 for name in names if _rendezvous_weight(name, item) > weight)
 
 
 def find_claim(
@@ -52,9 +54,10 @@
 ) -> "Claim | None":
     """Return the claim that this scheduler may make on a rack, if any.
 
-    A holder's term is over once its member row has been seen unchanged for
-    longer than the term, or its process is surely dead. So that a renewal
-    sent meanwhile wins, the claim is conditional on the version of that row.
+    A holder's term has ended once its member row has stayed unchanged for
+    longer than the term, or once its process is known to have ended. The
+    claim is conditional on the version of that row, so that a renewal sent
+    in the meantime takes precedence.
 
     Args:
         watcher: Membership of this scheduler.
@@ -66,7 +69,7 @@
         holding = rows.from_value(row.value, holdings.RackHolding)
     claim = Claim(holding=holding, version=row.version if row else 0)
     if holding.incarnation == watcher.own.incarnation:
-        # An earlier claim of ours whose tasks could not be read.
+        # This process claimed the rack, but could not read its tasks.
         claim.lease_left_s = terms.HORIZON_S + terms.DRIFT_MARGIN_S
         claim.rival_s = claim.lease_left_s
         return claim
@@ -80,13 +83,13 @@
     key = (holdings.Role.SCHEDULER, holding.holder)
     sighting = watcher.sightings.get(key)
     if sighting is None:
-        watcher.see_missing(_unknown_member(holding))
+        watcher.see_missing(_member_of_holding(holding))
         return None
     is_dead = holding.incarnation in watcher.dead
     return _find_takeover(claim, sighting, is_dead=is_dead)
 
 
-def _unknown_member(holding: holdings.RackHolding) -> holdings.MemberRow:
+def _member_of_holding(holding: holdings.RackHolding) -> holdings.MemberRow:
     return holdings.MemberRow(
         name=holding.holder,
         role=holdings.Role.SCHEDULER,
@@ -105,8 +108,8 @@
     if sighting.member.incarnation != claim.holding.incarnation:
         if sighting.member.former_incarnation == claim.holding.incarnation:
             return claim
-        # Its machine has started anew; the old start can't renew its row
-        # any more, and its last term ends within T of the new row.
+        # The host has restarted. The previous process can't renew the row
+        # any more, and its last term ends within one term of the new row.
         wait_s = terms.PLACEMENT_TERM_S + terms.DRIFT_MARGIN_S
         return claim if now_s - sighting.started_s > wait_s else None
     claim.conditions.append(
@@ -116,7 +119,7 @@
         )
     )
     if is_dead or sighting.member.state == holdings.HostState.GONE:
-        # Its commands under way lapse within their life.
+        # Commands that it sent to workers expire after COMMAND_LIFE_S.
         return claim
     if not sighting.is_lapsed(now_s=now_s):
         return None
@@ -127,15 +130,17 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Claim:
-    """What a scheduler may do about a rack that it does not hold.
+    """A claim that a scheduler may make on a rack that it does not hold.
 
     Attributes:
         holding: The rack's row as it was read.
         version: Version of that row; 0 if there is none.
-        former: Its holder, unless its process is surely gone.
-        lease_left_s: Seconds after which the leases of others lapsed.
-        rival_s: Seconds for which others may still renew leases.
-        conditions: What must hold besides.
+        former: The previous holder, unless its process is known to have
+            ended.
+        lease_left_s: Seconds until all leases of previous holders have
+            expired.
+        rival_s: Seconds for which a previous holder may still renew leases.
+        conditions: Further conditions of the transaction.
     """
 
     holding: holdings.RackHolding
@@ -156,10 +161,10 @@
     Args:
         platform: Link to the platform.
         own: Member row of this scheduler.
-        claim: What may be claimed.
+        claim: The claim to commit.
 
     Returns:
-        The rack, or None if another scheduler was faster.
+        The rack, or None if a row that the claim depends on has changed.
 
     Raises:
         PlatformUnavailableError: Nothing was written.
--- a/wisteriawood/zones/drains.py
+++ b/wisteriawood/zones/drains.py
@@ -1,4 +1,4 @@
-"""Follows the operators' orders to drain hosts of one kind."""
+"""Reads which hosts of one kind operators have requested to drain."""
 
 import anyio
 
@@ -14,12 +14,12 @@
 
 
 class Drains:
-    """The hosts that operators have ordered to drain, as last read.
+    """The drain requests of operators for hosts of one kind, as last read.
 
     Args:
         platform: Link to the platform.
         kind: Kind of the hosts.
-        name: Only the host of this name; empty for all.
+        name: Name of the only host to follow; empty for all hosts.
     """
 
     __slots__ = ("_names", "_platform", "_prefix")
@@ -36,7 +36,7 @@
         self._names: frozenset[str] = frozenset()
 
     def is_ordered(self, name: str) -> bool:
-        """Tell whether a host has been ordered to drain.
+        """Return whether a drain of a host has been requested.
 
         Args:
             name: Name of the host.
@@ -44,7 +44,7 @@
         return name in self._names
 
     async def run(self) -> None:
-        """Poll the orders until cancelled; without the table they stay."""
+        """Poll the requests until cancelled; keep them if a read fails."""
         while True:
             try:
                 await self.poll()
@@ -53,7 +53,7 @@
             await anyio.sleep(POLL_PERIOD_S)
 
     async def poll(self) -> None:
-        """Read the orders once.
+        """Read the requests once.
 
         Raises:
             PlatformError: The table could not be read.
--- a/wisteriawood/zones/followers.py
+++ b/wisteriawood/zones/followers.py
@@ -1,4 +1,4 @@
-"""Follows the configuration: through the platform and through peers."""
+"""Follows the configuration through the platform and through peers."""
 
 import collections
 import typing
@@ -16,13 +16,14 @@
 from wisteriawood.zones import peering
 
 POLL_PERIOD_S = 1.0
-# A poll that takes longer makes the daemon follow its peers meanwhile.
+# During a longer poll, the daemon follows its peers as well.
 SLOW_POLL_S = 0.5
-ASK_PERIOD_S = 1.0
-# A daemon without a version hears its peers for so long, then asks the
-# one with the highest version.
-START_WAIT_S = 1.0
-CHANGES_KEPT = 256
+REQUEST_PERIOD_S = 1.0
+# A daemon without a version waits this long after the first heartbeat of a
+# peer, then requests the configuration from the peer with the highest
+# version.
+FIRST_REQUEST_DELAY_S = 1.0
+MAX_CACHED_CHANGES = 256
 
 _LOG = events.Logger(name=__name__)
 
@@ -30,8 +31,8 @@
 class Follower:
     """Keeps the newest configuration of one daemon.
 
-    A version never goes down: changes are taken in order, each on the
-    version just before it, and whole versions only if they are higher.
+    The version never decreases: a change is applied only to the version
+    just before it, and a snapshot only if its version is higher.
 
     Args:
         platform: Link to the platform.
@@ -39,12 +40,12 @@
     """
 
     __slots__ = (
-        "_asked_at_s",
         "_changes",
         "_document",
-        "_heard_at_s",
+        "_first_heartbeat_at_s",
         "_links",
         "_platform",
+        "_requested_at_s",
         "changed",
         "current",
     )
@@ -56,10 +57,10 @@
         self._links = links
         self._document: configuration.Document = {"teams": {}}
         self._changes: collections.deque[configurations.ConfigChange] = (
-            collections.deque(maxlen=CHANGES_KEPT)
+            collections.deque(maxlen=MAX_CACHED_CHANGES)
         )
-        self._asked_at_s = -ASK_PERIOD_S
-        self._heard_at_s: float | None = None
+        self._requested_at_s = -REQUEST_PERIOD_S
+        self._first_heartbeat_at_s: float | None = None
         self.changed = anyio.Event()
         self.current = configuration.Configuration(
             version=configurations.NO_VERSION
@@ -67,27 +68,27 @@
 
     @property
     def version(self) -> int:
-        """Version in force here; below 0 if there is none yet."""
+        """Version in force on this daemon; below 0 if there is none yet."""
         return self.current.version
 
     def not_ready(self) -> str:
         """Return why the daemon can't serve yet; empty if it can."""
         if self.version < 0:
             return (
-                "no configuration: neither the platform nor a peer has "
-                "given one yet"
+                "no configuration yet: none was received from the platform "
+                "or from a peer"
             )
         return ""
 
     def check_team(self, name: str) -> None:
-        """Check that a team is served here.
+        """Check that a team is in the configuration.
 
         Args:
             name: Name of the team.
 
         Raises:
-            RequestNotRunError: There is no such team, or no
-                configuration yet.
+            RequestNotRunError: The configuration has no such team, or
+                there is no configuration yet.
         """
         reason = self.not_ready()
         if reason:
@@ -98,7 +99,7 @@
             )
 
     def service(self, team: str, name: str) -> configuration.Service | None:
-        """Return what a team asks of a service; None for the defaults.
+        """Return the configuration of a service; None for the defaults.
 
         Args:
             team: Name of the team.
@@ -107,25 +108,25 @@
         return self.current.service(team, name)
 
     async def run(self) -> None:
-        """Poll the platform, for ever."""
+        """Poll the platform until cancelled."""
         while True:
             started_s = anyio.current_time()
             try:
-                await self._poll_noticed()
+                await self._poll_with_fallback()
             except errors.PlatformError:
                 self._set_follows_peers(True)
             except errors.WisteriawoodError as exc:
                 _LOG.log(events.CONFIG_UNREADABLE, reason=str(exc))
             else:
                 self._set_follows_peers(False)
-            self._links.note_followers()
+            self._links.publish_followers()
             took_s = anyio.current_time() - started_s
             await anyio.sleep(max(0.0, POLL_PERIOD_S - took_s))
 
-    async def _poll_noticed(self) -> None:
+    async def _poll_with_fallback(self) -> None:
         caught: list[errors.WisteriawoodError] = []
         async with anyio.create_task_group() as group:
-            group.start_soon(self._notice_slow_poll)
+            group.start_soon(self._follow_peers_if_slow)
             try:
                 await self.poll()
             except errors.WisteriawoodError as exc:
@@ -134,35 +135,42 @@
         if caught:
             raise caught[0]
 
-    async def _notice_slow_poll(self) -> None:
+    async def _follow_peers_if_slow(self) -> None:
         await anyio.sleep(SLOW_POLL_S)
         self._set_follows_peers(True)
 
     def _set_follows_peers(self, value: bool) -> None:
         if self._links.follows_peers != value:
             self._links.follows_peers = value
-            self._links.announce()
+            self._links.send_heartbeats_now()
 
     async def poll(self) -> None:
-        """Read the platform once and take what is newer there.
+        """Read the platform once and apply any newer version.
 
         Raises:
             PlatformError: The table could not be read.
         """
         if self.version < 0:
-            self._take_snapshot(await config_links.read_newest(self._platform))
+            self._apply_snapshot(
+                await config_links.read_newest(self._platform)
+            )
             return
         changes = await config_links.read_changes(
             self._platform, after=self.version
         )
-        # A gap: this daemon was away for longer than changes are kept.
+        # Changes are missing: the platform keeps only the newest ones, and
+        # this daemon has not read it for longer than that.
         if changes and changes[0].version > self.version + 1:
-            self._take_snapshot(await config_links.read_newest(self._platform))
+            self._apply_snapshot(
+                await config_links.read_newest(self._platform)
+            )
             return
-        self.take_changes(changes)
+        self.apply_changes(changes)
 
-    def take_changes(self, changes: list[configurations.ConfigChange]) -> None:
-        """Take changes in order; refuse any that does not follow on.
+    def apply_changes(
+        self, changes: list[configurations.ConfigChange]
+    ) -> None:
+        """Apply changes in order, skipping any but the next version.
 
         Args:
             changes: The changes, oldest first.
@@ -185,9 +193,9 @@
             self._document = document
             self._changes.append(change)
         if self.version > before:
-            self._adopted()
+            self._publish_version()
 
-    def _take_snapshot(self, snapshot: configurations.ConfigSnapshot) -> None:
+    def _apply_snapshot(self, snapshot: configurations.ConfigSnapshot) -> None:
         if snapshot.version <= self.version:
             return
         try:
@@ -199,18 +207,18 @@
             return
         self._document = snapshot.document
         self._changes.clear()
-        self._adopted()
+        self._publish_version()
 
-    def _adopted(self) -> None:
+    def _publish_version(self) -> None:
         _LOG.log(events.CONFIG_ADOPTED, version=self.version)
-        self._links.note_version(self.version)
+        self._links.publish_version(self.version)
         self.changed.set()
         self.changed = anyio.Event()
         for peer in self._links.peers.values():
-            self._pass_on(peer)
+            self._forward_changes(peer)
 
-    def _pass_on(self, peer: peering.Peer) -> None:
-        """Send changes to a peer that can't read the platform."""
+    def _forward_changes(self, peer: peering.Peer) -> None:
+        """Send newer changes to a peer that can't read the platform."""
         if not peer.follows_peers:
             return
         if not 0 <= peer.config_version < self.version:
@@ -228,10 +236,10 @@
             return []
         return changes
 
-    async def hear(
+    async def receive_heartbeat(
         self, peer: peering.Peer, message: messages.Heartbeat
     ) -> None:
-        """Take note of a peer's heartbeat; ask or pass on if that helps.
+        """Process a heartbeat: forward newer changes, or request them.
 
         Args:
             peer: The peer.
@@ -239,38 +247,38 @@
         """
         peer.config_version = message.config_version
         peer.follows_peers = message.follows_peers
-        self._pass_on(peer)
+        self._forward_changes(peer)
         if self.version < 0:
-            self._ask_highest()
+            self._request_from_highest()
         else:
-            self._ask(peer)
+            self._request_newer(peer)
 
-    def _ask_highest(self) -> None:
+    def _request_from_highest(self) -> None:
         now_s = anyio.current_time()
-        if self._heard_at_s is None:
-            self._heard_at_s = now_s
-        if now_s - self._heard_at_s < START_WAIT_S:
+        if self._first_heartbeat_at_s is None:
+            self._first_heartbeat_at_s = now_s
+        if now_s - self._first_heartbeat_at_s < FIRST_REQUEST_DELAY_S:
             return
         peers = self._links.peers.values()
-        self._ask(max(peers, key=lambda p: p.config_version))
+        self._request_newer(max(peers, key=lambda p: p.config_version))
 
-    def _ask(self, peer: peering.Peer) -> None:
+    def _request_newer(self, peer: peering.Peer) -> None:
         now_s = anyio.current_time()
         if peer.config_version <= self.version:
             return
-        if now_s - self._asked_at_s < ASK_PERIOD_S:
+        if now_s - self._requested_at_s < REQUEST_PERIOD_S:
             return
-        self._asked_at_s = now_s
+        self._requested_at_s = now_s
         peer.start(peer.send, messages.ConfigWanted(have=self.version))
 
-    async def answer(
+    async def send_newer(
         self, peer: peering.Peer, message: messages.ConfigWanted
     ) -> None:
-        """Answer a peer that asks for what is newer here.
+        """Send a peer the changes or the snapshot that it requests.
 
         Args:
             peer: The peer.
-            message: What it asks.
+            message: The request, with the version that the peer has.
         """
         if message.have >= self.version:
             return
@@ -288,7 +296,7 @@
     def receive_changes(
         self, peer: peering.Peer, message: messages.ConfigChanges
     ) -> None:
-        """Take the changes that a peer passes on.
+        """Apply the changes that a peer has forwarded.
 
         Args:
             peer: The peer.
@@ -297,34 +305,34 @@
         if message.changes:
             newest = message.changes[-1].version
             peer.config_version = max(peer.config_version, newest)
-        self.take_changes(message.changes)
+        self.apply_changes(message.changes)
 
     def receive_offer(
         self, peer: peering.Peer, message: messages.ConfigOffer
     ) -> None:
-        """Take the whole version that a peer passes on, if it is higher.
+        """Apply the snapshot that a peer has sent, if its version is higher.
 
         Args:
             peer: The peer.
-            message: The version.
+            message: The snapshot.
         """
         version = message.snapshot.version
         peer.config_version = max(peer.config_version, version)
-        self._take_snapshot(message.snapshot)
+        self._apply_snapshot(message.snapshot)
 
 
 @peering.handles(messages.Heartbeat)
-async def _hear(
+async def _receive_heartbeat(
     machine: typing.Any, peer: peering.Peer, message: messages.Heartbeat
 ) -> None:
-    await machine.configuration.hear(peer, message)
+    await machine.configuration.receive_heartbeat(peer, message)
 
 
 @peering.handles(messages.ConfigWanted)
-async def _answer(
+async def _receive_request(
     machine: typing.Any, peer: peering.Peer, message: messages.ConfigWanted
 ) -> None:
-    await machine.configuration.answer(peer, message)
+    await machine.configuration.send_newer(peer, message)
 
 
 @peering.handles(messages.ConfigChanges)
--- a/wisteriawood/zones/membership.py
+++ b/wisteriawood/zones/membership.py
@@ -1,4 +1,4 @@
-"""Membership: own member row, and the rows of the other daemons."""
+"""Membership: the daemon's own member row and those of all daemons."""
 
 import dataclasses
 import math
@@ -20,7 +20,8 @@
     holdings.Role.ENTRY: 5.0,
 }
 SCAN_PERIOD_S = 1.0
-# Longest time between two scans that still counts as watching.
+# Longest gap between two scans; after a longer one, the age of every row is
+# counted from zero again.
 WATCH_GAP_S = 3.0
 
 _LOG = events.Logger(name=__name__)
@@ -32,9 +33,9 @@
 
     Attributes:
         member: The row.
-        version: Version of the row; 0 once it is gone.
-        first_seen_s: Monotonic time after this version was first read.
-        started_s: Monotonic time after this incarnation was first read.
+        version: Version of the row; 0 once it has been deleted.
+        first_seen_s: Monotonic time at which this version was first read.
+        started_s: Monotonic time at which this incarnation was first read.
     """
 
     member: holdings.MemberRow
@@ -43,13 +44,17 @@
     started_s: float
 
     def is_lapsed(self, *, now_s: float) -> bool:
-        """Tell whether the member's term has surely ended."""
+        """Return whether the term, drift included, has certainly ended.
+
+        Args:
+            now_s: Monotonic time in seconds.
+        """
         wait_s = terms.PLACEMENT_TERM_S + terms.DRIFT_MARGIN_S
         return now_s - self.first_seen_s > wait_s
 
 
 class Membership:
-    """Keeps the own member row renewed and watches the others.
+    """Renews the daemon's own member row and reads those of the others.
 
     Args:
         platform: Link to the platform.
@@ -59,10 +64,10 @@
     __slots__ = (
         "_platform",
         "_reachable",
-        "_was_held",
         "_renewal_due",
+        "_scanned_at_s",
         "_version",
-        "_watched_at_s",
+        "_was_held",
         "announced_s",
         "changed",
         "dead",
@@ -82,30 +87,30 @@
         self._was_held = False
         self._renewal_due = anyio.Event()
         self._version = 0
-        self._watched_at_s: float | None = None
+        self._scanned_at_s: float | None = None
         self.own = own
         self.term = terms.Term(duration_s=terms.PLACEMENT_TERM_S)
         self.sightings: dict[tuple[holdings.Role, str], Sighting] = {}
         self.watched_at_s = -math.inf
-        # The longest time of a request that the own row surely tells.
+        # Longest request time that the stored row is known to announce.
         self.announced_s = 0.0
-        # Incarnations whose machines refuse connections.
+        # Incarnations whose hosts refuse connections.
         self.dead: set[str] = set()
         self.changed = anyio.Event()
         self.renewed = anyio.Event()
         self.superseded = anyio.Event()
 
     def is_confirmed(self) -> bool:
-        """Tell whether the own term holds now."""
+        """Return whether the daemon holds its term now."""
         return self.term.is_held(now_s=anyio.current_time())
 
     @property
     def is_reachable(self) -> bool:
-        """Whether the newest call to the platform was answered."""
+        """Whether the last call to the platform was answered."""
         return self._reachable
 
     def watched_since(self, time_s: float) -> bool:
-        """Tell whether a read of all members left after a time.
+        """Return whether the last read of all members began after a time.
 
         Args:
             time_s: Monotonic time in seconds.
@@ -113,10 +118,11 @@
         return self.watched_at_s > time_s
 
     def lists(self, member: holdings.MemberRow) -> bool:
-        """Tell whether the table has a row of a process.
+        """Return whether the table has a row of this process.
 
         Args:
-            member: What is known of it.
+            member: Member row of the process, or one built from its role,
+                name and incarnation.
         """
         sighting = self.sightings.get((member.role, member.name))
         return (
@@ -127,11 +133,11 @@
     def live(
         self, role: holdings.Role, *, zone: str = ""
     ) -> list[holdings.MemberRow]:
-        """Return the members of a role that renew their rows.
+        """Return the members of a role whose terms have not ended.
 
         Args:
             role: Role of the members.
-            zone: Only members of this zone; empty for all.
+            zone: Zone of the members; empty for all zones.
         """
         now_s = anyio.current_time()
         return [
@@ -146,15 +152,15 @@
         ]
 
     async def run(self) -> None:
-        """Renew and watch, for ever."""
+        """Renew the own row and read the others until cancelled."""
         async with anyio.create_task_group() as group:
-            group.start_soon(self._renew_forever)
-            group.start_soon(self._watch_forever)
+            group.start_soon(self._renew_periodically)
+            group.start_soon(self._watch_periodically)
 
-    async def _renew_forever(self) -> None:
+    async def _renew_periodically(self) -> None:
         while not self.superseded.is_set():
             self._renewal_due = anyio.Event()
-            await self._try(self.renew)
+            await self._track_reachability(self.renew)
             self._log_term()
             with anyio.move_on_after(RENEW_PERIOD_S[self.own.role]):
                 await self._renewal_due.wait()
@@ -168,15 +174,15 @@
         self._was_held = is_held
 
     def renew_soon(self) -> None:
-        """Have the own row written at once, as it has changed."""
+        """Have the own row written at once because it has changed."""
         self._renewal_due.set()
 
-    async def _watch_forever(self) -> None:
+    async def _watch_periodically(self) -> None:
         while True:
-            await self._try(self.watch)
+            await self._track_reachability(self.watch)
             await anyio.sleep(SCAN_PERIOD_S)
 
-    async def _try(
+    async def _track_reachability(
         self, call: typing.Callable[[], typing.Awaitable[None]]
     ) -> None:
         try:
@@ -200,12 +206,12 @@
         if not self._version:
             row = await self._platform.read(key)
             self._version = row.version if row else 0
-            self._see_former(row)
+            self._copy_former(row)
         self.own.renewals += 1
         self.own.renewed_unix_s = time.time()
         sent_at_s = anyio.current_time()
         announced_s = self.own.longest_s
-        # Whatever comes of this write, the row may say this from now on.
+        # Even if no answer comes, the write may have taken effect.
         self.announced_s = min(self.announced_s, announced_s)
         transaction = platforms.Transaction(
             conditions=[platforms.Condition(key=key, version=self._version)],
@@ -213,7 +219,7 @@
         )
         result = await platforms.commit_settled(self._platform, transaction)
         if not result.committed:
-            # A newer start of this host has written the row.
+            # A newer process of this host has written the row.
             self.term.end()
             self.superseded.set()
             _LOG.log(events.TERM_LOST, reason="superseded")
@@ -226,8 +232,12 @@
         self.renewed.set()
         self.renewed = anyio.Event()
 
-    def _see_former(self, row: platforms.Row | None) -> None:
-        """Carry over what the start before had announced, if it is dead."""
+    def _copy_former(self, row: platforms.Row | None) -> None:
+        """Copy what the previous process announced if this one replaces it.
+
+        Args:
+            row: The stored member row, or None if there is none.
+        """
         if row is None:
             return
         former = rows.from_value(row.value, holdings.MemberRow)
@@ -245,27 +255,28 @@
         found = await platforms.scan_all(self._platform, keys.members())
         self.watched_at_s = sent_at_s
         now_s = anyio.current_time()
-        self._see_gap(now_s)
+        self._handle_scan_gap(now_s)
         seen = set()
         for row in found:
             member = rows.from_value(row.value, holdings.MemberRow)
             seen.add((member.role, member.name))
-            self._see(member, row.version, now_s)
+            self._observe(member, row.version, now_s)
         for key in set(self.sightings) - seen:
-            self._see(self.sightings[key].member, 0, now_s)
+            self._observe(self.sightings[key].member, 0, now_s)
         self.changed.set()
         self.changed = anyio.Event()
 
-    def _see_gap(self, now_s: float) -> None:
-        # While nobody could read the rows, nobody could renew them either:
-        # give each member the time to do so before it counts as lapsed.
-        before_s = self._watched_at_s
+    def _handle_scan_gap(self, now_s: float) -> None:
+        # While the rows could not be read, they could not be renewed
+        # either. Count the age of every row again from now, so that each
+        # member has a full term to renew it.
+        before_s = self._scanned_at_s
         if before_s is not None and now_s - before_s > WATCH_GAP_S:
             for sighting in self.sightings.values():
                 sighting.first_seen_s = now_s
-        self._watched_at_s = now_s
+        self._scanned_at_s = now_s
 
-    def _see(
+    def _observe(
         self, member: holdings.MemberRow, version: int, now_s: float
     ) -> None:
         key = (member.role, member.name)
@@ -285,9 +296,10 @@
         )
 
     def see_missing(self, member: holdings.MemberRow) -> None:
-        """Watch a member that has no row, from now on.
+        """Start to count the time for which a member has had no row.
 
         Args:
-            member: What is known of it.
+            member: Member row built from the known role, name and
+                incarnation.
         """
-        self._see(member, 0, anyio.current_time())
+        self._observe(member, 0, anyio.current_time())
--- a/wisteriawood/zones/peering.py
+++ b/wisteriawood/zones/peering.py
@@ -1,6 +1,6 @@
 """Peer links of a daemon: one link for each pair, one task for each peer.
 
-Entry hosts link with each other; schedulers dial entry hosts.
+Entry hosts connect to each other; schedulers connect to entry hosts.
 """
 
 import contextlib
@@ -34,10 +34,10 @@
     """The link to one peer while it is open.
 
     Args:
-        member: The peer's member row, from its hello.
+        member: The peer's member row, from its Hello message.
         channel: Channel to it.
-        is_dialled: Whether this process dialled.
-        group: Runs tasks that end with the link.
+        is_dialled: Whether this process opened the link.
+        group: Task group whose tasks end with the link.
     """
 
     __slots__ = (
@@ -47,7 +47,7 @@
         "follows_peers",
         "group",
         "is_dialled",
-        "last_heard_s",
+        "last_received_s",
         "member",
     )
 
@@ -66,18 +66,18 @@
         self.closed = anyio.Event()
         self.config_version = configurations.NO_VERSION
         self.follows_peers = False
-        self.last_heard_s = anyio.current_time()
+        self.last_received_s = anyio.current_time()
 
     async def send(self, message: typing.Any) -> None:
         """Send a message.
 
         Raises:
-            LinkClosedError: The link broke.
+            LinkClosedError: The link is closed.
         """
         await self.channel.send(message)
 
     def start(self, function: typing.Callable, *args: typing.Any) -> None:
-        """Run a task that ends with the link; its link errors close it."""
+        """Run a task that ends with the link; a link error closes the link."""
         self.group.start_soon(self._run, function, args)
 
     async def _run(self, function: typing.Callable, args: tuple) -> None:
@@ -99,9 +99,10 @@
 def handles(message_type: type) -> typing.Callable[[Handler], Handler]:
     """Return a decorator that registers the handler of a message type.
 
-    The handler gets the machine that owns the link, the peer and the
-    message. The link's next message waits for it, so that a handler with
-    longer work hands it to `Peer.start`.
+    The handler receives the daemon that owns the link, the peer and the
+    message. The next message of the link is read only after the handler
+    has returned, so longer work belongs in a task started with
+    `Peer.start`.
 
     Args:
         message_type: Type of the messages.
@@ -124,10 +125,10 @@
 ) -> list[holdings.MemberRow]:
     """Return the members that a daemon keeps a link to.
 
-    A few of its own zone and, for an entry host, fewer of each other
-    zone, by rendezvous hashing on the pair, so that both ends tend to
-    choose each other and the links of one daemon do not grow with the
-    number of daemons.
+    These are OWN_ZONE_PEERS members of its own zone and OTHER_ZONE_PEERS
+    of each other zone, chosen by rendezvous hashing on the pair. Both ends
+    therefore tend to choose each other, and the number of links of a
+    daemon does not grow with the number of daemons.
 
     Args:
         own: The daemon's member row.
@@ -153,22 +154,22 @@
 
     Args:
         members: The daemon's membership.
-        machine: Object that the handlers of messages get.
+        machine: Daemon object that is passed to the message handlers.
         dial_peer: Opens the channel to the peer at an address.
-        addresses: Further addresses to dial, as host:port, for a start
-            without the platform.
+        addresses: Further addresses to dial, as host:port, so that the
+            daemon can start while the platform is unreachable.
     """
 
     __slots__ = (
         "_addresses",
+        "_chosen_addresses",
         "_dial_peer",
         "_group",
-        "_kept",
+        "_keys_by_address",
         "_live_addresses",
         "_machine",
+        "_maintained",
         "_members",
-        "_names",
-        "_wanted",
         "config_version",
         "follows_peers",
         "peers",
@@ -187,29 +188,30 @@
         self._dial_peer = dial_peer
         self._addresses = tuple(addresses)
         self._group: abc.TaskGroup | None = None
-        self._kept: set[str] = set()
+        self._maintained: set[str] = set()
         self._live_addresses: set[str] = set()
-        self._names: dict[str, str] = {}
-        self._wanted: set[str] = set()
+        self._keys_by_address: dict[str, str] = {}
+        self._chosen_addresses: set[str] = set()
         self.config_version = configurations.NO_VERSION
         self.follows_peers = False
         self.peers: dict[str, Peer] = {}
 
     async def run(self) -> None:
-        """Keep the links, for ever.
+        """Maintain the links until cancelled.
 
-        With the platform cut off, the members last read stay wanted.
+        While the platform is unreachable, the links to the peers chosen
+        last are maintained.
         """
         async with anyio.create_task_group() as group:
             self._group = group
             while True:
                 changed = self._members.changed
-                self._review()
+                self._start_links()
                 with anyio.move_on_after(REVIEW_PERIOD_S):
                     await changed.wait()
-                    self._choose()
+                    self._choose_peers()
 
-    def _choose(self) -> None:
+    def _choose_peers(self) -> None:
         own = self._members.own
         live = self._members.live(holdings.Role.ENTRY)
         addresses = {member.peer_address for member in live}
@@ -218,24 +220,27 @@
         self._live_addresses = addresses
         chosen = choose_peers(own, live)
         if chosen:
-            self._wanted = {member.peer_address for member in chosen}
+            self._chosen_addresses = {member.peer_address for member in chosen}
         for member in chosen:
-            self._names[member.peer_address] = member_key(member)
+            self._keys_by_address[member.peer_address] = member_key(member)
 
-    def _review(self) -> None:
+    def _start_links(self) -> None:
         own_address = self._members.own.peer_address
-        wanted = self._wanted.union(self._addresses) - {own_address}
-        for address in sorted(wanted - self._kept):
-            self._kept.add(address)
-            self._group.start_soon(self._keep, address)
-
-    async def _keep(self, address: str) -> None:
-        """Keep the link to one peer while it is wanted, straight down."""
-        told = ""
-        while address in self._wanted or address in self._addresses:
-            name = self._names.get(address, "")
+        addresses = self._chosen_addresses.union(self._addresses) - {
+            own_address
+        }
+        for address in sorted(addresses - self._maintained):
+            self._maintained.add(address)
+            self._group.start_soon(self._maintain_link, address)
+
+    async def _maintain_link(self, address: str) -> None:
+        """Maintain the link to one address while it is chosen."""
+        logged_reason = ""
+        while address in self._chosen_addresses or address in self._addresses:
+            name = self._keys_by_address.get(address, "")
             if name and name < member_key(self._members.own):
-                # The smaller name dials; the other only if it does not.
+                # The peer with the smaller key dials; this one dials only
+                # if no link was opened within the period.
                 await anyio.sleep(REDIAL_PERIOD_S)
             peer = self.peers.get(name)
             if peer is not None:
@@ -246,11 +251,11 @@
                 await self._dial(address)
             except errors.LinkError as exc:
                 reason = str(exc)
-            if reason and reason != told:
+            if reason and reason != logged_reason:
                 _LOG.log(events.PEER_LOST, peer=address, reason=reason)
-            told = reason
+            logged_reason = reason
             await anyio.sleep(REDIAL_PERIOD_S)
-        self._kept.discard(address)
+        self._maintained.discard(address)
 
     def _hello(self) -> messages.Hello:
         return messages.Hello(
@@ -263,36 +268,36 @@
         async with self._dial_peer(address=address) as channel:
             await channel.send(self._hello())
             hello = await _receive_hello(channel)
-            self._names[address] = member_key(hello.member)
-            await self._hold(hello, channel, is_dialled=True)
+            self._keys_by_address[address] = member_key(hello.member)
+            await self._serve_link(hello, channel, is_dialled=True)
 
     async def serve(self, channel: channels.Channel) -> None:
-        """Serve a link that a peer has dialled, until it breaks.
+        """Serve a link that a peer has opened until it closes.
 
         Args:
             channel: Channel to the peer.
 
         Raises:
-            LinkError: The peer said no hello.
+            LinkError: The peer sent no Hello message in time.
         """
         await self.welcome(await _receive_hello(channel), channel)
 
     async def welcome(
         self, hello: messages.Hello, channel: channels.Channel
     ) -> None:
-        """Serve a link whose hello has been received.
+        """Serve a link whose Hello message has been received.
 
         Args:
-            hello: The peer's hello.
+            hello: The Hello message of the peer.
             channel: Channel to the peer.
 
         Raises:
-            LinkError: The link broke before it was open.
+            LinkError: The link closed before the answer was sent.
         """
         await channel.send(self._hello())
-        await self._hold(hello, channel, is_dialled=False)
+        await self._serve_link(hello, channel, is_dialled=False)
 
-    async def _hold(
+    async def _serve_link(
         self,
         hello: messages.Hello,
         channel: channels.Channel,
@@ -309,7 +314,7 @@
             )
             peer.config_version = hello.config_version
             before = self.peers.get(key)
-            if before is not None and not self._replaces(peer, before):
+            if before is not None and not self._is_preferred(peer, before):
                 return
             if before is not None:
                 before.close()
@@ -317,19 +322,19 @@
             _LOG.log(events.PEER_CONNECTED, peer=key)
             try:
                 peer.start(self._send_heartbeats, peer)
-                peer.start(self._watch, peer)
+                peer.start(self._check_timeout, peer)
                 await self._receive(peer)
             finally:
-                self._forget(key, peer)
+                self._remove(key, peer)
         _LOG.log(events.PEER_LOST, peer=key, reason="closed")
 
-    def _forget(self, key: str, peer: Peer) -> None:
+    def _remove(self, key: str, peer: Peer) -> None:
         if self.peers.get(key) is peer:
             del self.peers[key]
         peer.closed.set()
 
-    def _replaces(self, new: Peer, old: Peer) -> bool:
-        # Both ends keep the link that the smaller name has dialled.
+    def _is_preferred(self, new: Peer, old: Peer) -> bool:
+        # Both ends keep the link that the smaller key has opened.
         if new.is_dialled == old.is_dialled:
             return True
         if new.member.incarnation != old.member.incarnation:
@@ -341,7 +346,7 @@
         with contextlib.suppress(errors.LinkError):
             while True:
                 message = await peer.channel.receive()
-                peer.last_heard_s = anyio.current_time()
+                peer.last_received_s = anyio.current_time()
                 name = type(message).__name__
                 if name not in HANDLERS.names():
                     _LOG.log(events.PEER_MESSAGE_IGNORED, type=name)
@@ -349,24 +354,30 @@
                 await HANDLERS.get(name)(self._machine, peer, message)
         peer.close()
 
-    def note_version(self, version: int) -> None:
-        """Tell peers and operators the configuration in force here.
+    def publish_version(self, version: int) -> None:
+        """Publish the version of the configuration in force.
+
+        Peers get it with the next heartbeat, operators through the member
+        row.
 
         Args:
-            version: Its version.
+            version: The version.
         """
         self.config_version = version
         self._members.own.config_version = version
 
-    def note_followers(self) -> None:
-        """Tell operators of the peers that can't tell them themselves."""
+    def publish_followers(self) -> None:
+        """Publish the versions of peers that can't reach the platform.
+
+        Their own member rows can't be written meanwhile.
+        """
         self._members.own.followers = {
             key: peer.config_version
             for key, peer in self.peers.items()
             if peer.follows_peers
         }
 
-    def announce(self) -> None:
+    def send_heartbeats_now(self) -> None:
         """Send a heartbeat to each peer now."""
         for peer in self.peers.values():
             peer.start(peer.send, self._heartbeat())
@@ -382,12 +393,14 @@
             await peer.send(self._heartbeat())
             await anyio.sleep(HEARTBEAT_PERIOD_S)
 
-    async def _watch(self, peer: Peer) -> None:
+    async def _check_timeout(self, peer: Peer) -> None:
         while True:
-            silent_s = anyio.current_time() - peer.last_heard_s
-            if silent_s >= LINK_TIMEOUT_S:
-                raise errors.LinkClosedError("the peer is silent")
-            await anyio.sleep(LINK_TIMEOUT_S - silent_s)
+            idle_s = anyio.current_time() - peer.last_received_s
+            if idle_s >= LINK_TIMEOUT_S:
+                raise errors.LinkClosedError(
+                    "no message from the peer within the link timeout"
+                )
+            await anyio.sleep(LINK_TIMEOUT_S - idle_s)
 
 
 async def _receive_hello(channel: channels.Channel) -> messages.Hello:
@@ -395,4 +408,6 @@
         hello = await channel.receive()
         if isinstance(hello, messages.Hello):
             return hello
-    raise errors.LinkClosedError("the peer said no hello")
+    raise errors.LinkClosedError(
+        "the peer sent no Hello message within the timeout"
+    )
--- a/wisteriawood/zones/probes.py
+++ b/wisteriawood/zones/probes.py
@@ -1,8 +1,8 @@
-"""Probes: which silent processes are surely dead.
+"""Probes that detect processes that have ended.
 
 A daemon listens before it writes its row, and closes its listener only
-after it has released what it holds. So a refused connection proves that
-the process of a row read before is dead. Silence proves nothing.
+after it has released what it holds. A refused connection therefore proves
+that the process of a row read before has ended. A timeout proves nothing.
 """
 
 import typing
@@ -16,12 +16,12 @@
 
 
 class Prober:
-    """Dials silent processes, one task each.
+    """Dials processes that send no heartbeats, one task each.
 
     Args:
         dial_peer: Opens a channel to the peer at an address.
-        suspects: Returns the member rows of the silent processes.
-        see_dead: Takes the row of a process that is surely dead.
+        suspects: Returns the member rows of the processes to probe.
+        see_dead: Called with the row of a process that has ended.
     """
 
     __slots__ = ("_dial_peer", "_probed", "_see_dead", "_suspects")
@@ -39,7 +39,7 @@
         self._suspects = suspects
 
     async def run(self) -> None:
-        """Probe, for ever."""
+        """Probe until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
                 for member in self._suspects():
@@ -59,11 +59,11 @@
 async def is_refused(
     dial_peer: typing.Callable, member: holdings.MemberRow
 ) -> bool:
-    """Tell whether the machine of a process refuses connections.
+    """Return whether the host of a process refuses connections.
 
     Args:
         dial_peer: Opens a channel to the peer at an address.
-        member: Row of the process, read before.
+        member: Row of the process, read before the call.
     """
     try:
         async with dial_peer(address=member.peer_address):
