--- a/wisteriawood/config/configuration.py
+++ b/wisteriawood/config/configuration.py
@@ -1,7 +1,7 @@
 """The configuration: teams with their services, weights and quotas.
 
-A document is the configuration as plain JSON; `Configuration` is the
-typed object that the daemons use.
+A document is the configuration as plain JSON values; `Configuration` is
+the typed object that the daemons use.
 """
 
 import dataclasses
@@ -16,15 +16,19 @@
 
 MAX_DEADLINE_MS = 60_000
 MAX_TEAMS = 1000
-MAX_NAMES = 100
+# Applies to the services and to the batch classes of a team.
+MAX_NAMES_PER_TEAM = 100
 
 Document = dict[str, typing.Any]
 
-_NAME = {"type": "string", "pattern": r"^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$"}
-_WEIGHT = {"type": "number", "minimum": 0, "maximum": 10}
+_NAME_SCHEMA = {
+    "type": "string",
+    "pattern": r"^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$",
+}
+_WEIGHT_SCHEMA = {"type": "number", "minimum": 0, "maximum": 10}
 
 
-def _record(properties: Document, required: typing.Sequence[str] = ()):
+def _object_schema(properties: Document, required: typing.Sequence[str] = ()):
     return {
         "type": "object",
         "additionalProperties": False,
@@ -33,16 +37,16 @@
     }
 
 
-def _named(items: Document, *, most: int) -> Document:
+def _mapping_schema(items: Document, *, max_count: int) -> Document:
     return {
         "type": "object",
-        "propertyNames": _NAME,
-        "maxProperties": most,
+        "propertyNames": _NAME_SCHEMA,
+        "maxProperties": max_count,
         "additionalProperties": items,
     }
 
 
-SERVICE_SCHEMA = _record(
+SERVICE_SCHEMA = _object_schema(
     {
         "deadline_ms": {
             "type": "integer",
@@ -54,21 +58,21 @@
     },
     required=["deadline_ms"],
 )
-BATCH_CLASS_SCHEMA = _record(
+BATCH_CLASS_SCHEMA = _object_schema(
     {
         "resumable": {"type": "boolean"},
         "throttled": {"type": "boolean"},
         "priority": {"type": "integer", "minimum": 0, "maximum": 100},
     }
 )
-WEIGHTS_SCHEMA = _record(
+WEIGHTS_SCHEMA = _object_schema(
     {
-        "tail_latency": _WEIGHT,
-        "batch_throughput": _WEIGHT,
-        "evictions": _WEIGHT,
+        "tail_latency": _WEIGHT_SCHEMA,
+        "batch_throughput": _WEIGHT_SCHEMA,
+        "evictions": _WEIGHT_SCHEMA,
     }
 )
-QUOTA_SCHEMA = _record(
+QUOTA_SCHEMA = _object_schema(
     {
         "share": {"type": "number", "exclusiveMinimum": 0, "maximum": 1000},
         "cores": {"type": "number", "minimum": 0, "maximum": 10_000_000},
@@ -81,18 +85,22 @@
         },
     }
 )
-TEAM_SCHEMA = _record(
+TEAM_SCHEMA = _object_schema(
     {
-        "services": _named(SERVICE_SCHEMA, most=MAX_NAMES),
-        "batch_classes": _named(BATCH_CLASS_SCHEMA, most=MAX_NAMES),
+        "services": _mapping_schema(
+            SERVICE_SCHEMA, max_count=MAX_NAMES_PER_TEAM
+        ),
+        "batch_classes": _mapping_schema(
+            BATCH_CLASS_SCHEMA, max_count=MAX_NAMES_PER_TEAM
+        ),
         "weights": WEIGHTS_SCHEMA,
         "quota": QUOTA_SCHEMA,
     }
 )
-SCHEMA = _record(
+SCHEMA = _object_schema(
     {
         "version": {"type": "integer", "minimum": 0},
-        "teams": _named(TEAM_SCHEMA, most=MAX_TEAMS),
+        "teams": _mapping_schema(TEAM_SCHEMA, max_count=MAX_TEAMS),
     },
     required=["teams"],
 )
@@ -100,11 +108,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Service:
-    """What a team asks of one service.
+    """Configuration of one service of a team.
 
     Attributes:
-        deadline_ms: Time for an answer where the caller gives none.
-        request_class: Class of requests where the caller gives none.
+        deadline_ms: Time for an answer, in milliseconds, if the caller
+            sets none.
+        request_class: Class of requests if the caller sets none.
         urgent: Whether its requests go before those of other services.
     """
 
@@ -114,18 +123,18 @@
 
     @property
     def deadline_s(self) -> float:
-        """Time for an answer in seconds."""
+        """Time for an answer, in seconds, if the caller sets none."""
         return self.deadline_ms / 1000.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class BatchClass:
-    """What a team allows with batch jobs of one task class.
+    """Configuration of the batch jobs of one task class of a team.
 
     Attributes:
         resumable: Whether a job may be evicted and resumed elsewhere.
-        throttled: Whether a job may be slowed down for a service.
-        priority: Higher goes first within the team.
+        throttled: Whether a job may be slowed down to protect a service.
+        priority: Priority within the team; higher goes first.
     """
 
     resumable: bool = True
@@ -135,12 +144,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Weights:
-    """How much each outcome matters to a team, from 0 to 10.
+    """Importance of each outcome to a team, from 0 to 10.
 
     Attributes:
-        tail_latency: Tail latency of its services.
-        batch_throughput: Throughput of its batch jobs.
-        evictions: Evictions of its tasks.
+        tail_latency: Importance of low tail latency of its services.
+        batch_throughput: Importance of the throughput of its batch jobs.
+        evictions: Importance of few evictions of its tasks.
     """
 
     tail_latency: float = 1.0
@@ -150,14 +159,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Quota:
-    """What a team may use at most; None for no limit.
+    """Limits of the resources of a team; None for no limit.
 
     Attributes:
         share: Share of contended resources, relative to other teams.
-        cores: Cores of its tasks.
-        memory_bytes: Memory of its tasks.
-        accelerators: Accelerators of its tasks.
-        requests_in_flight: Requests at targets at once, on each entry host.
+        cores: Most cores of all its tasks together.
+        memory_bytes: Most memory of all its tasks together, in bytes.
+        accelerators: Most accelerators of all its tasks together.
+        requests_in_flight: Most requests at its targets at once, on each
+            entry host.
     """
 
     share: float = 1.0
@@ -173,9 +183,9 @@
 
     Attributes:
         services: Its services by name.
-        batch_classes: Its classes of batch jobs by task class.
-        weights: How much each outcome matters to it.
-        quota: What it may use at most.
+        batch_classes: Configuration of its batch jobs by task class.
+        weights: Importance of each outcome to it.
+        quota: Limits of its resources.
     """
 
     services: dict[str, Service] = dataclasses.field(default_factory=dict)
@@ -191,7 +201,7 @@
     """One version of the configuration.
 
     Attributes:
-        version: Its number; 0 before the first change.
+        version: Number of the version; 0 before the first change.
         teams: The teams by name.
     """
 
@@ -199,18 +209,18 @@
     teams: dict[str, Team] = dataclasses.field(default_factory=dict)
 
     def team(self, name: str) -> Team | None:
-        """Return a team, or None if the configuration has none such."""
+        """Return a team, or None if the configuration does not have it."""
         return self.teams.get(name)
 
     def knows(self, name: str) -> bool:
-        """Tell whether a team is served.
+        """Return whether a team is served.
 
-        Before the first change every team is served, with defaults.
+        Before the first change, every team is served with defaults.
         """
         return not self.version or name in self.teams
 
     def longest_deadline_s(self) -> float:
-        """Return the longest deadline of a service, in seconds."""
+        """Return the longest deadline of all services, in seconds."""
         return max(
             (
                 service.deadline_s
@@ -221,7 +231,7 @@
         )
 
     def service(self, team: str, name: str) -> Service | None:
-        """Return a service of a team, or None if there is none such."""
+        """Return a service of a team, or None if it is not configured."""
         found = self.teams.get(team)
         return found.services.get(name) if found else None
 
@@ -231,22 +241,24 @@
 
     Args:
         document: The document.
-        file: Where it came from, for the message.
+        file: Source of the document, for the error message.
 
     Raises:
-        SettingsError: The first error, with its path and the remedy.
+        SettingsError: The document does not match; the message names the
+            path of the first error and the remedy.
     """
     settings.check(file=file, value=document, schema=SCHEMA)
 
 
 def read_file(*, file: str) -> Document:
-    """Return the checked document of a file.
+    """Read a document from a file and check it.
 
     Args:
         file: Name of the file.
 
     Raises:
-        SettingsError: The file is missing, no JSON or not as it should be.
+        SettingsError: The file can't be read, is not JSON or does not match
+            the schema.
     """
     document = settings.read_json(file=file)
     check(document, file=file)
@@ -266,14 +278,14 @@
 
 
 def parse(document: Document, *, version: int) -> Configuration:
-    """Return the typed object of a checked document.
+    """Convert a checked document to the typed object.
 
     Args:
         document: The document.
         version: Its version number.
 
     Raises:
-        SettingsError: This version of the program can't read it.
+        SettingsError: This version of the program can't read the document.
     """
     teams = {
         name: _parse_team(name, value)
@@ -289,16 +301,16 @@
     *,
     version: int,
 ) -> Configuration:
-    """Return the typed object after a patch; parses only changed teams.
+    """Return the typed object after a patch; parse only changed teams.
 
     Args:
-        before: Object of the version before.
+        before: Object of the previous version.
         document: Document after the patch.
-        patch: The merge patch that led to it.
+        patch: The merge patch that was applied.
         version: Version number of the document.
 
     Raises:
-        SettingsError: This version of the program can't read it.
+        SettingsError: This version of the program can't read the document.
     """
     teams = dict(before.teams)
     for name in patch.get("teams", {}):
--- a/wisteriawood/config/configuration_patches.py
+++ b/wisteriawood/config/configuration_patches.py
@@ -33,10 +33,10 @@
 
 
 def apply(document: typing.Any, patch: typing.Any) -> typing.Any:
-    """Return a document after a merge patch; the old one is kept.
+    """Return a copy of a document with a merge patch applied.
 
     Args:
-        document: Document before.
+        document: The document; not modified.
         patch: The merge patch.
     """
     if not isinstance(patch, dict):
@@ -53,11 +53,11 @@
 def make(
     before: configuration.Document, after: configuration.Document
 ) -> configuration.Document:
-    """Return the merge patch that leads from one document to another.
+    """Return the merge patch that turns one document into another.
 
     Args:
-        before: Document before; holds no null.
-        after: Document after; holds no null.
+        before: Old document; contains no null.
+        after: New document; contains no null.
     """
     patch: configuration.Document = {}
     for key in before.keys() - after.keys():
@@ -76,20 +76,20 @@
 def _leaves(value: typing.Any, path: str) -> dict[str, str]:
     if not isinstance(value, dict) or not value:
         return {path: json.dumps(value)}
-    found = {}
+    leaves = {}
     for key, inner in value.items():
-        found.update(_leaves(inner, f"{path}.{key}"))
-    return found
+        leaves.update(_leaves(inner, f"{path}.{key}"))
+    return leaves
 
 
 def differences(
     before: configuration.Document, after: configuration.Document
 ) -> list[Difference]:
-    """Return what differs between two documents, by path.
+    """Return the differences between two documents, sorted by path.
 
     Args:
-        before: Document before.
-        after: Document after.
+        before: Old document.
+        after: New document.
     """
     old = _leaves(before, "$")
     new = _leaves(after, "$")
--- a/wisteriawood/config/questionnaire.py
+++ b/wisteriawood/config/questionnaire.py
@@ -1,4 +1,4 @@
-"""The questionnaire: answers in plain words become a team's configuration."""
+"""The questionnaire: turns answers into the configuration of a team."""
 
 import dataclasses
 import json
@@ -11,17 +11,17 @@
 from wisteriawood.config import settings
 from wisteriawood.policies import registry
 
-SCHEMA_HEAD = {"type": "object", "additionalProperties": False}
+_SCHEMA_BASE = {"type": "object", "additionalProperties": False}
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Outcome:
-    """What the answers of a team lead to.
+    """Configuration that results from the answers of a team.
 
     Attributes:
         team: Name of the team.
         document: The team's part of the configuration.
-        explanations: In words, what each answer led to.
+        explanations: Sentences that explain the effect of each answer.
     """
 
     team: str
@@ -39,7 +39,7 @@
 def schema() -> configuration.Document:
     """Return the JSON schema of an answers file."""
     asked = questions()
-    return SCHEMA_HEAD | {
+    return _SCHEMA_BASE | {
         "required": [question.name for question in asked],
         "properties": {question.name: question.schema for question in asked},
     }
@@ -50,22 +50,24 @@
 
     Args:
         answers: The answers by name of the question.
-        file: Where they came from, for the message.
+        file: Source of the answers, for the error message.
 
     Raises:
-        SettingsError: The first error, with its path and the remedy.
+        SettingsError: An answer does not match; the message names the path
+            of the first error and the remedy.
     """
     settings.check(file=file, value=answers, schema=schema())
 
 
 def read_file(*, file: str) -> base.Answers:
-    """Return the checked answers of a file.
+    """Read answers from a file and check them.
 
     Args:
         file: Name of the file.
 
     Raises:
-        SettingsError: The file is missing, no JSON or not as it should be.
+        SettingsError: The file can't be read, is not JSON or does not match
+            the questions.
     """
     answers = settings.read_json(file=file)
     check(answers, file=file)
@@ -87,14 +89,14 @@
 
 
 def parse_answer(question: base.Question, text: str) -> typing.Any:
-    """Return the checked answer that a text holds.
+    """Parse and check the text of an answer.
 
     Args:
         question: The question.
-        text: What the operator typed.
+        text: Text that the operator typed.
 
     Raises:
-        SettingsError: The answer does not fit; the message says why.
+        SettingsError: The answer is not valid; the message says why.
     """
     value = question.read(text)
     settings.check(file=question.name, value=value, schema=question.schema)
@@ -102,7 +104,7 @@
 
 
 def build(answers: base.Answers) -> Outcome:
-    """Return what checked answers lead to.
+    """Return the configuration that results from checked answers.
 
     Args:
         answers: The answers by name of the question.
@@ -127,8 +129,8 @@
     """Return a configuration with the team's part replaced.
 
     Args:
-        document: The configuration before.
-        outcome: What the team's answers lead to.
+        document: The configuration to change; not modified.
+        outcome: Result of the team's answers.
     """
     teams = dict(document.get("teams", {}))
     teams[outcome.team] = outcome.document
--- a/wisteriawood/config/questions/__init__.py
+++ b/wisteriawood/config/questions/__init__.py
@@ -1,1 +1,1 @@
-"""Questions of the questionnaire, one module a topic."""
+"""Questions of the questionnaire, one module for each topic."""
--- a/wisteriawood/config/questions/base.py
+++ b/wisteriawood/config/questions/base.py
@@ -1,4 +1,4 @@
-"""What a question is, and the registry of questions."""
+"""Base types of questions, and the registry of questions."""
 
 import dataclasses
 import json
@@ -19,17 +19,17 @@
     "uniqueItems": True,
     "maxItems": 100,
 }
-TOP_PRIORITY = 100
+MAX_PRIORITY = 100
 COUNT_SCHEMA = {"type": "integer", "minimum": 0, "maximum": 1_000_000}
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Effect:
-    """What one answer leads to.
+    """Effect of one answer on the configuration.
 
     Attributes:
         patch: Merge patch of the team's part of the configuration.
-        explanations: The same in words, for the operator.
+        explanations: Sentences that explain the patch to the operator.
     """
 
     patch: dict[str, typing.Any] = dataclasses.field(default_factory=dict)
@@ -37,17 +37,17 @@
 
 
 def read_text(text: str) -> typing.Any:
-    """Return the answer to a question that takes a text."""
+    """Parse the answer to a question that expects a text."""
     return text.strip()
 
 
 def read_names(text: str) -> typing.Any:
-    """Return the answer to a question that takes names; may be empty."""
+    """Parse comma-separated names; there may be none."""
     return [name.strip() for name in text.split(",") if name.strip()]
 
 
 def read_number(text: str) -> typing.Any:
-    """Return the answer to a question that takes a number."""
+    """Parse a number; return other text unchanged for the schema check."""
     try:
         return json.loads(text)
     except json.JSONDecodeError:
@@ -55,21 +55,21 @@
 
 
 def read_numbers(text: str) -> typing.Any:
-    """Return the answer to a question that takes NAME=NUMBER pairs."""
+    """Parse comma-separated NAME=NUMBER pairs."""
     pairs = [pair.partition("=") for pair in read_names(text)]
-    return {name.strip(): read_number(value) for name, _is, value in pairs}
+    return {name.strip(): read_number(value) for name, _equals, value in pairs}
 
 
 def check_known(answers: Answers, name: str, *, among: str) -> None:
-    """Check that an answer names only what another answer names.
+    """Check that all names in an answer are also in another answer.
 
     Args:
         answers: All answers.
         name: Name of the question whose answer is checked.
-        among: Name of the question that names everything.
+        among: Name of the question whose answer has all the names.
 
     Raises:
-        SettingsError: The answer names something else.
+        SettingsError: The answer has a name that the other does not have.
     """
     unknown = sorted(set(answers[name]) - set(answers[among]))
     if unknown:
@@ -77,22 +77,22 @@
             file="answers",
             path=f"$.{name}",
             found=unknown[0],
-            remedy=f"name it under {among} too, or leave it out here",
+            remedy=f"add it to {among} too, or remove it here",
         )
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Question:
-    """A question in plain words.
+    """A question of the questionnaire.
 
     Attributes:
         name: Key of its answer in the answers file.
-        order: Place among the questions.
+        order: Sort key; lower is asked first.
         text: The question.
         hint: How to answer, with an example.
-        schema: JSON schema that bounds the answer.
-        read: Turns what the operator types into the answer.
-        effect: Says what the answers lead to.
+        schema: JSON schema of the answer.
+        read: Parses the text that the operator typed.
+        effect: Returns the effect of the answers.
     """
 
     name: str
@@ -116,18 +116,18 @@
     schema: dict[str, typing.Any],
     read: typing.Callable[[str], typing.Any] = read_text,
 ) -> typing.Callable:
-    """Return a decorator that adds a question; its function is the effect.
+    """Return a decorator that registers a function as a question's effect.
 
     Args:
         name: Key of its answer in the answers file.
-        order: Place among the questions.
+        order: Sort key; lower is asked first.
         text: The question.
         hint: How to answer, with an example.
-        schema: JSON schema that bounds the answer.
-        read: Turns what the operator types into the answer.
+        schema: JSON schema of the answer.
+        read: Parses the text that the operator typed.
     """
 
-    def _add(effect: typing.Callable[[Answers], Effect]):
+    def _register(effect: typing.Callable[[Answers], Effect]):
         QUESTIONS.register(name)(
             Question(
                 name=name,
@@ -141,4 +141,4 @@
         )
         return effect
 
-    return _add
+    return _register
--- a/wisteriawood/config/questions/callers.py
+++ b/wisteriawood/config/questions/callers.py
@@ -1,4 +1,4 @@
-"""Questions on callers: what they wait for, and how late is too late."""
+"""Questions about callers: services, deadlines and request classes."""
 
 from wisteriawood.config import configuration
 from wisteriawood.config.questions import base
@@ -8,7 +8,7 @@
     "type": "object",
     "propertyNames": base.NAME_SCHEMA,
     "minProperties": 0,
-    "maxProperties": configuration.MAX_NAMES,
+    "maxProperties": configuration.MAX_NAMES_PER_TEAM,
     "additionalProperties": {
         "type": "integer",
         "minimum": 1,
@@ -20,12 +20,12 @@
 @base.question(
     "team",
     order=10,
-    text="What is your team called?",
-    hint="One word without spaces, such as kroupa. Callers use it in URLs.",
+    text="What is the name of your team?",
+    hint="One word without spaces, such as kroupa. It is part of your URLs.",
     schema=base.NAME_SCHEMA,
 )
 def team(answers: base.Answers) -> base.Effect:
-    """Name the team."""
+    """Explain the URLs of the team; the name itself needs no patch."""
     name = answers["team"]
     return base.Effect(
         explanations=[f"Callers reach your services at /{name}/SERVICE/..."]
@@ -35,20 +35,20 @@
 @base.question(
     "too_late_ms",
     order=20,
-    text="What do callers wait for, and how late is too late?",
-    hint="SERVICE=MILLISECONDS with commas between, such as shop=400. "
-    "Nothing if nobody waits for an answer.",
+    text="Which services do callers use, and how long may an answer take?",
+    hint="SERVICE=MILLISECONDS, separated by commas, such as "
+    "shop=400,orders=2000. Leave empty if nobody waits for an answer.",
     schema=_DEADLINES_SCHEMA,
     read=base.read_numbers,
 )
 def deadlines(answers: base.Answers) -> base.Effect:
-    """Give each service its deadline."""
+    """Set the deadline of each service."""
     effect = base.Effect(patch={"services": {}})
     for name, deadline_ms in answers["too_late_ms"].items():
         effect.patch["services"][name] = {"deadline_ms": deadline_ms}
         effect.explanations.append(
             f"A request to {name} is answered within {deadline_ms} ms or "
-            "refused: a caller who says nothing else gets this deadline."
+            "refused. A caller can set another deadline for a request."
         )
     return effect
 
@@ -56,13 +56,14 @@
 @base.question(
     "never_twice",
     order=30,
-    text="Which of these must never be done twice, such as billing?",
-    hint="Names of services with commas between; nothing if none.",
+    text="Which of these services must never run a request twice, such as "
+    "billing?",
+    hint="Names of services, separated by commas. Leave empty if none.",
     schema=base.NAMES_SCHEMA,
     read=base.read_names,
 )
 def never_twice(answers: base.Answers) -> base.Effect:
-    """Make requests run at most once."""
+    """Set the request class of services to run-once."""
     base.check_known(answers, "never_twice", among="too_late_ms")
     effect = base.Effect(patch={"services": {}})
     for name in answers["never_twice"]:
@@ -70,8 +71,8 @@
             "request_class": requests.RequestClass.RUN_ONCE.value
         }
         effect.explanations.append(
-            f"A request to {name} runs at most once: each needs an "
-            "Idempotency-Key header, and a repeat gets the first answer."
+            f"A request to {name} runs at most once. Each request needs an "
+            "Idempotency-Key header; a repeat gets the first answer."
         )
     return effect
 
@@ -79,18 +80,20 @@
 @base.question(
     "goes_first",
     order=40,
-    text="Which of these go first when there is too much to do?",
-    hint="Names of services with commas between; nothing if none.",
+    text="Which of these services go first when there are too many "
+    "requests?",
+    hint="Names of services, separated by commas. Leave empty if none.",
     schema=base.NAMES_SCHEMA,
     read=base.read_names,
 )
 def goes_first(answers: base.Answers) -> base.Effect:
-    """Make services urgent."""
+    """Mark services as urgent."""
     base.check_known(answers, "goes_first", among="too_late_ms")
     effect = base.Effect(patch={"services": {}})
     for name in answers["goes_first"]:
         effect.patch["services"][name] = {"urgent": True}
         effect.explanations.append(
-            f"Requests to {name} are urgent: they go before your others."
+            f"Requests to {name} are urgent: they go before your other "
+            "requests."
         )
     return effect
--- a/wisteriawood/config/questions/jobs.py
+++ b/wisteriawood/config/questions/jobs.py
@@ -1,4 +1,4 @@
-"""Questions on batch jobs: what may be stopped, resumed and slowed."""
+"""Questions about batch jobs: eviction, throttling and priority."""
 
 from wisteriawood.config.questions import base
 
@@ -7,13 +7,13 @@
     "batch_jobs",
     order=50,
     text="Which kinds of batch jobs do you run?",
-    hint="Names with commas between, such as patterns, reports; nothing "
-    "if none. A task names its kind as its task_class.",
+    hint="Names, separated by commas, such as patterns,reports. Leave empty "
+    "if none. A task gives the name as its task_class.",
     schema=base.NAMES_SCHEMA,
     read=base.read_names,
 )
 def batch_jobs(answers: base.Answers) -> base.Effect:
-    """Give each kind of batch job its class."""
+    """Add a batch class for each kind of batch job."""
     return base.Effect(
         patch={
             "batch_classes": {
@@ -26,43 +26,45 @@
 @base.question(
     "may_be_resumed",
     order=60,
-    text="Which of these may be stopped and resumed on another machine?",
-    hint="Names of batch jobs with commas between; nothing if none.",
+    text="Which of these jobs may be stopped and resumed on another machine?",
+    hint="Names of batch jobs, separated by commas. Leave empty if none.",
     schema=base.NAMES_SCHEMA,
     read=base.read_names,
 )
 def may_be_resumed(answers: base.Answers) -> base.Effect:
-    """Let batch jobs be evicted."""
+    """Set which batch jobs may be evicted."""
     base.check_known(answers, "may_be_resumed", among="batch_jobs")
     effect = base.Effect(patch={"batch_classes": {}})
     for name in answers["batch_jobs"]:
         resumable = name in answers["may_be_resumed"]
         effect.patch["batch_classes"][name] = {"resumable": resumable}
-        words = (
-            "may be stopped at a checkpoint and resumes there exactly once"
+        behaviour = (
+            "may be stopped at a checkpoint and resumes from there exactly "
+            "once"
             if resumable
-            else "is not stopped to make room for others"
+            else "is not stopped to free capacity for other tasks"
         )
-        effect.explanations.append(f"A {name} job {words}.")
+        effect.explanations.append(f"A {name} job {behaviour}.")
     return effect
 
 
 @base.question(
     "must_not_slow",
     order=70,
-    text="Which of these must not be slowed down for a service?",
-    hint="Names of batch jobs with commas between; nothing if none.",
+    text="Which of these jobs must not be slowed down to protect a service?",
+    hint="Names of batch jobs, separated by commas. Leave empty if none.",
     schema=base.NAMES_SCHEMA,
     read=base.read_names,
 )
 def must_not_slow(answers: base.Answers) -> base.Effect:
-    """Keep batch jobs from being throttled."""
+    """Set which batch jobs must not be throttled."""
     base.check_known(answers, "must_not_slow", among="batch_jobs")
     effect = base.Effect(patch={"batch_classes": {}})
     for name in answers["must_not_slow"]:
         effect.patch["batch_classes"][name] = {"throttled": False}
         effect.explanations.append(
-            f"A {name} job keeps its speed when a service beside it is slow."
+            f"A {name} job is not slowed down when a service on its machine "
+            "is slow."
         )
     return effect
 
@@ -70,20 +72,21 @@
 @base.question(
     "first_jobs",
     order=80,
-    text="Which of these go first when machines are short?",
-    hint="Names of batch jobs, the most important first, with commas "
-    "between; nothing if all are alike.",
+    text="Which of these jobs go first when there are too few machines?",
+    hint="Names of batch jobs, separated by commas, the most important "
+    "first. Leave empty if all are equally important.",
     schema=base.NAMES_SCHEMA,
     read=base.read_names,
 )
 def first_jobs(answers: base.Answers) -> base.Effect:
-    """Give batch jobs their priorities."""
+    """Set the priorities of batch jobs."""
     base.check_known(answers, "first_jobs", among="batch_jobs")
     effect = base.Effect(patch={"batch_classes": {}})
     for place, name in enumerate(answers["first_jobs"]):
-        priority = max(1, base.TOP_PRIORITY - place)
+        priority = max(1, base.MAX_PRIORITY - place)
         effect.patch["batch_classes"][name] = {"priority": priority}
         effect.explanations.append(
-            f"A {name} job waits with priority {priority} of your team's."
+            f"A {name} job has priority {priority} among the jobs of your "
+            "team."
         )
     return effect
--- a/wisteriawood/config/questions/outcomes.py
+++ b/wisteriawood/config/questions/outcomes.py
@@ -1,25 +1,26 @@
-"""Questions on outcomes: what matters most, and how much may be used."""
+"""Questions about outcome weights and quotas."""
 
 from wisteriawood.config.questions import base
 
-_WORDS = {
-    "tail_latency": "no caller waits long",
-    "batch_throughput": "batch jobs finish soon",
-    "evictions": "running work is left alone",
+_OUTCOMES = {
+    "tail_latency": "callers get fast answers",
+    "batch_throughput": "batch jobs finish early",
+    "evictions": "running tasks are not interrupted",
 }
-_TOP_WEIGHT = 10
+_MAX_WEIGHT = 10
 _WEIGHT_STEP = 4
 
 
 @base.question(
     "matters_most",
     order=90,
-    text="What matters more? Put all three in order, the most first.",
-    hint="tail_latency (no caller waits long), batch_throughput (jobs "
-    "finish soon), evictions (running work is left alone).",
+    text="What matters most? List all three, the most important first.",
+    hint="tail_latency (callers get fast answers), batch_throughput (batch "
+    "jobs finish early), evictions (running tasks are not interrupted). "
+    "Separate them by commas.",
     schema={
         "type": "array",
-        "items": {"enum": list(_WORDS)},
+        "items": {"enum": list(_OUTCOMES)},
         "uniqueItems": True,
         "minItems": 3,
         "maxItems": 3,
@@ -27,13 +28,13 @@
     read=base.read_names,
 )
 def matters_most(answers: base.Answers) -> base.Effect:
-    """Weigh the three outcomes."""
+    """Set the weights of the three outcomes."""
     effect = base.Effect(patch={"weights": {}})
     for place, name in enumerate(answers["matters_most"]):
-        weight = _TOP_WEIGHT - _WEIGHT_STEP * place
+        weight = _MAX_WEIGHT - _WEIGHT_STEP * place
         effect.patch["weights"][name] = weight
         effect.explanations.append(
-            f"That {_WORDS[name]} weighs {weight} of {_TOP_WEIGHT}."
+            f"That {_OUTCOMES[name]} has the weight {weight} of {_MAX_WEIGHT}."
         )
     return effect
 
@@ -41,14 +42,14 @@
 @base.question(
     "cores",
     order=100,
-    text="How many cores may your tasks use in all?",
-    hint="A number of cores, such as 2240 for 35 machines with 64 each; "
+    text="How many cores may all your tasks together use?",
+    hint="A number of cores, such as 2240 for 35 machines with 64 each, or "
     "0 for no limit.",
     schema=base.COUNT_SCHEMA,
     read=base.read_number,
 )
 def cores(answers: base.Answers) -> base.Effect:
-    """Limit the team's cores."""
+    """Set the core quota of the team."""
     limit = answers["cores"]
     if not limit:
         return base.Effect(explanations=["Your tasks have no core limit."])
@@ -61,18 +62,18 @@
 @base.question(
     "share",
     order=110,
-    text="When teams compete, how much should you get beside the others?",
-    hint="1 for the same as each other team, 2 for twice as much.",
+    text="How large is your share when teams compete for machines?",
+    hint="1 for the same as every other team, 2 for twice as much.",
     schema={"type": "number", "minimum": 0.1, "maximum": 100},
     read=base.read_number,
 )
 def share(answers: base.Answers) -> base.Effect:
-    """Give the team its share."""
+    """Set the share of the team."""
     factor = answers["share"]
     return base.Effect(
         patch={"quota": {"share": factor}},
         explanations=[
-            f"When machines are short you get {factor} times the share of "
-            "a team with 1."
+            f"When there are too few machines, you get {factor} times as "
+            "much as a team with share 1."
         ],
     )
--- a/wisteriawood/config/settings.py
+++ b/wisteriawood/config/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemons: a JSON file checked against a schema."""
+"""Settings of the daemons, read from a JSON file and checked."""
 
 import dataclasses
 import json
@@ -9,9 +9,9 @@
 
 from wisteriawood import errors
 
-_ADDRESS = {"type": "string", "pattern": r"^[^\s:]+:[0-9]{1,5}$"}
-_NAME = {"type": "string", "pattern": r"^[a-z0-9][a-z0-9.-]{0,62}$"}
-MAX_SHOWN_CHARS = 200
+_ADDRESS_SCHEMA = {"type": "string", "pattern": r"^[^\s:]+:[0-9]{1,5}$"}
+_NAME_SCHEMA = {"type": "string", "pattern": r"^[a-z0-9][a-z0-9.-]{0,62}$"}
+MAX_VALUE_CHARS = 200
 
 SCHEMA = {
     "type": "object",
@@ -24,18 +24,18 @@
         "operator_address",
     ],
     "properties": {
-        "name": _NAME,
-        "zone": _NAME,
-        "region": _NAME,
+        "name": _NAME_SCHEMA,
+        "zone": _NAME_SCHEMA,
+        "region": _NAME_SCHEMA,
         "platform_url": {"type": "string", "pattern": "^https?://"},
-        "caller_address": _ADDRESS,
-        "peer_address": _ADDRESS,
-        "operator_address": _ADDRESS,
+        "caller_address": _ADDRESS_SCHEMA,
+        "peer_address": _ADDRESS_SCHEMA,
+        "operator_address": _ADDRESS_SCHEMA,
         "log_file": {"type": "string"},
         "trace_file": {"type": "string"},
         "routing_policy": {"type": "string"},
         "placement_policy": {"type": "string"},
-        "peers": {"type": "array", "items": _ADDRESS, "maxItems": 64},
+        "peers": {"type": "array", "items": _ADDRESS_SCHEMA, "maxItems": 64},
         "seed": {"type": "integer", "minimum": 0},
     },
 }
@@ -46,20 +46,22 @@
     """Settings of one daemon.
 
     Attributes:
-        name: Name of the entry host.
+        name: Name of the host.
         zone: Its availability zone.
         region: Its region.
         platform_url: Base address of the platform.
-        caller_address: Where callers are served, as host:port.
-        peer_address: Where peers are served, as host:port.
-        operator_address: Where operators are served, as host:port.
+        caller_address: Address to serve callers at, as host:port.
+        peer_address: Address to serve peers at, as host:port.
+        operator_address: Address to serve operators at, as host:port.
         log_file: File for events; empty for none.
         trace_file: File for spans; empty for none.
         routing_policy: Name of the routing policy; empty for the default.
-        placement_policy: Name of the placement policy; empty likewise.
-        peers: Addresses of peers, as host:port, dialled besides those of
-            the table, for a start without the platform.
-        seed: Seed of random choices; None for a random one.
+        placement_policy: Name of the placement policy; empty for the
+            default.
+        peers: Addresses of peers, as host:port, that are dialled in
+            addition to the members of the table, so that the daemon can
+            start while the platform is unreachable.
+        seed: Seed of random choices; None for a random seed.
     """
 
     name: str
@@ -82,7 +84,7 @@
         known = ", ".join(sorted(error.schema["properties"]))
         return f"remove it; the keys are {known}"
     if error.validator == "required":
-        return f"add it; needed are {', '.join(error.validator_value)}"
+        return f"add it; required are {', '.join(error.validator_value)}"
     if error.validator == "type":
         return f"write a value of type {error.validator_value}"
     if error.validator == "enum":
@@ -95,11 +97,11 @@
             f"write a number of {words[error.validator]} "
             f"{error.validator_value}"
         )
-    return f"mend it: {error.validator} is {error.validator_value}"
+    return f"correct it: {error.validator} is {error.validator_value}"
 
 
-def _place(error: jsonschema.ValidationError) -> tuple[str, str]:
-    """Return the path of an error and what was found there."""
+def _locate(error: jsonschema.ValidationError) -> tuple[str, str]:
+    """Return the JSON path of an error and a text of the value there."""
     if error.validator == "additionalProperties":
         known = error.schema["properties"]
         key = min(key for key in error.instance if key not in known)
@@ -110,19 +112,19 @@
         ]
         return f"{error.json_path}.{missing[0]}", "nothing"
     text = json.dumps(error.instance)
-    if len(text) > MAX_SHOWN_CHARS:
-        text = text[:MAX_SHOWN_CHARS] + "..."
+    if len(text) > MAX_VALUE_CHARS:
+        text = text[:MAX_VALUE_CHARS] + "..."
     return error.json_path, text
 
 
 def read_json(*, file: str) -> typing.Any:
-    """Return the value of a JSON file.
+    """Read and parse a JSON file.
 
     Args:
         file: Name of the file.
 
     Raises:
-        SettingsError: There is no such file, or it is no JSON.
+        SettingsError: The file can't be read or is not JSON.
     """
     try:
         with open(file, encoding="utf-8") as stream:
@@ -145,7 +147,7 @@
 
     Args:
         file: Name of the file.
-        text: What to write.
+        text: Content of the file.
 
     Raises:
         SettingsError: The file can't be written.
@@ -166,31 +168,33 @@
     """Check a JSON value against a schema.
 
     Args:
-        file: Name of the file it came from, for the message.
+        file: Source of the value, for the error message.
         value: The value.
         schema: JSON schema.
 
     Raises:
-        SettingsError: The first error, with its path and the remedy.
+        SettingsError: The value does not match; the message names the path
+            of the first error and the remedy.
     """
     validator = jsonschema.Draft202012Validator(schema)
     found = sorted(validator.iter_errors(value), key=lambda e: e.json_path)
     if not found:
         return
-    path, text = _place(found[0])
+    path, text = _locate(found[0])
     raise errors.SettingsError(
         file=file, path=path, found=text, remedy=_remedy(found[0])
     )
 
 
 def load(*, file: str) -> Settings:
-    """Return the settings of a file.
+    """Read settings from a file and check them.
 
     Args:
         file: Name of the file.
 
     Raises:
-        SettingsError: The file is missing, no JSON or not as it should be.
+        SettingsError: The file can't be read, is not JSON or does not match
+            the schema.
     """
     value = read_json(file=file)
     check(file=file, value=value, schema=SCHEMA)
--- a/wisteriawood/config/tasks.py
+++ b/wisteriawood/config/tasks.py
@@ -1,4 +1,4 @@
-"""Task files: what operators submit, in JSON, checked against a schema."""
+"""Task files: JSON descriptions of the tasks that operators submit."""
 
 import typing
 
@@ -7,16 +7,22 @@
 from wisteriawood.config import settings
 from wisteriawood.contracts import tasks
 
-_NAME = {"type": "string", "pattern": r"^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$"}
-_TEXTS = {"type": "object", "additionalProperties": {"type": "string"}}
+_NAME_SCHEMA = {
+    "type": "string",
+    "pattern": r"^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$",
+}
+_STRINGS_SCHEMA = {
+    "type": "object",
+    "additionalProperties": {"type": "string"},
+}
 
 TASK_SCHEMA = {
     "type": "object",
     "additionalProperties": False,
     "required": ["id", "team", "kind", "needs"],
     "properties": {
-        "id": _NAME,
-        "team": _NAME,
+        "id": _NAME_SCHEMA,
+        "team": _NAME_SCHEMA,
         "kind": {"enum": [kind.value for kind in tasks.TaskKind]},
         "needs": {
             "type": "object",
@@ -31,11 +37,11 @@
         "run_s": {"type": "number", "minimum": 0},
         "urgent": {"type": "boolean"},
         "priority": {"type": "integer", "minimum": 0, "maximum": 100},
-        "task_class": _NAME,
-        "service": _NAME,
+        "task_class": _NAME_SCHEMA,
+        "service": _NAME_SCHEMA,
         "slots": {"type": "integer", "minimum": 0, "maximum": 1024},
-        "labels": _TEXTS,
-        "arguments": _TEXTS,
+        "labels": _STRINGS_SCHEMA,
+        "arguments": _STRINGS_SCHEMA,
     },
     "if": {"properties": {"kind": {"const": "service"}}},
     "then": {"required": ["service", "slots"]},
@@ -44,14 +50,14 @@
 
 
 def parse(*, file: str, value: typing.Any) -> list[tasks.TaskSpec]:
-    """Return the tasks that a JSON value describes.
+    """Check a JSON value and convert it to tasks.
 
     Args:
-        file: Name of the file, for messages.
+        file: Source of the value, for the error message.
         value: One task or a list of tasks.
 
     Raises:
-        SettingsError: The value is not as it should be.
+        SettingsError: The value does not match the schema.
     """
     if isinstance(value, dict):
         value = [value]
--- a/wisteriawood/telemetry/job_events.py
+++ b/wisteriawood/telemetry/job_events.py
@@ -43,7 +43,7 @@
 CELL_LOST = events.define(
     2103,
     "cell-lost",
-    "This host no longer holds a cell; another host claims it.",
+    "Another host has taken over a cell that this host held.",
     "Nothing, unless it happens often; then check the load of the host.",
 )
 CELL_RELEASED = events.define(
--- a/wisteriawood/tests/questionnaire_tests.py
+++ b/wisteriawood/tests/questionnaire_tests.py
@@ -1,4 +1,4 @@
-"""The questionnaire and its command."""
+"""Tests of the questionnaire and of its command."""
 
 import importlib.resources
 import json
@@ -14,7 +14,7 @@
 from wisteriawood import errors
 
 TEAMS = ("kroupa", "vitrinenklima")
-TYPED = [
+TYPED_ANSWERS = [
     "kroupa",
     "shop=0",
     "shop=400,orders=2000",
@@ -31,14 +31,14 @@
 
 
 def example(team):
-    """Return the file of a team's answers."""
+    """Return the path of the example answers of a team."""
     package = importlib.resources.files("wisteriawood.config")
     return str(package / "examples" / f"{team}.json")
 
 
 class AnswersTests(unittest.TestCase):
 
-    def test_examples_lead_to_a_configuration_and_say_why(self):
+    def test_examples_result_in_a_configuration_with_explanations(self):
         for team in TEAMS:
             answers = questionnaire.read_file(file=example(team))
             outcome = questionnaire.build(answers)
@@ -47,7 +47,7 @@
             self.assertIsNotNone(parsed.team(team))
             self.assertGreater(len(outcome.explanations), 8)
 
-    def test_teams_weigh_outcomes_as_they_answered(self):
+    def test_weights_follow_the_order_of_the_answer(self):
         weights = {
             team: questionnaire.build(
                 questionnaire.read_file(file=example(team))
@@ -58,7 +58,7 @@
         self.assertEqual(10, weights["vitrinenklima"]["batch_throughput"])
         self.assertEqual(6, weights["vitrinenklima"]["evictions"])
 
-    def test_each_answer_is_bounded(self):
+    def test_each_invalid_answer_is_refused(self):
         good = questionnaire.read_file(file=example("kroupa"))
         bad = {
             "team": "two words",
@@ -80,7 +80,7 @@
                     questionnaire.check(good | {name: value}, file="x")
                 self.assertIn(f"$.{name}", str(caught.exception))
 
-    def test_names_of_nothing_are_refused(self):
+    def test_unknown_names_are_refused(self):
         good = questionnaire.read_file(file=example("kroupa"))
         for name in ("never_twice", "goes_first", "first_jobs"):
             with self.assertRaises(errors.SettingsError):
@@ -101,8 +101,8 @@
         with open(file, encoding="utf-8") as stream:
             return json.load(stream)
 
-    def test_answers_are_asked_checked_kept_and_changed(self):
-        status = self.tester.execute(inputs="\n".join(TYPED))
+    def test_answers_are_asked_checked_stored_and_changed(self):
+        status = self.tester.execute(inputs="\n".join(TYPED_ANSWERS))
         self.assertEqual(0, status)
         self.assertIn("at least 1", self.tester.io.fetch_error())
         document = self.read("configuration.json")
