--- a/wisteriawood/config/questions/outcomes.py
+++ b/wisteriawood/config/questions/outcomes.py
@@ -34,7 +34,8 @@
         weight = _MAX_WEIGHT - _WEIGHT_STEP * place
         effect.patch["weights"][name] = weight
         effect.explanations.append(
-            f"That {_OUTCOMES[name]} has the weight {weight} of {_MAX_WEIGHT}."
+            f"The goal that {_OUTCOMES[name]} has weight {weight} of "
+            f"{_MAX_WEIGHT}."
         )
     return effect
 
--- a/wisteriawood/telemetry/job_events.py
+++ b/wisteriawood/telemetry/job_events.py
@@ -38,7 +38,9 @@
 )
 CELL_CLAIMED = events.define(2101, "cell-claimed", "This host claimed a cell.")
 CELL_OPENED = events.define(
-    2102, "cell-opened", "This host has read the jobs of a cell and runs them."
+    2102,
+    "cell-opened",
+    "This host has read the jobs of a cell and manages them.",
 )
 CELL_LOST = events.define(
     2103,
--- a/wisteriawood/zones/membership.py
+++ b/wisteriawood/zones/membership.py
@@ -91,6 +91,8 @@
         self.own = own
         self.term = terms.Term(duration_s=terms.PLACEMENT_TERM_S)
         self.sightings: dict[tuple[holdings.Role, str], Sighting] = {}
+        # Time at which the last complete scan was sent; _scanned_at_s is the
+        # time of its answer.
         self.watched_at_s = -math.inf
         # Longest request time that the stored row is known to announce.
         self.announced_s = 0.0
--- a/wisteriawood/zones/peering.py
+++ b/wisteriawood/zones/peering.py
@@ -237,12 +237,12 @@
         """Maintain the link to one address while it is chosen."""
         logged_reason = ""
         while address in self._chosen_addresses or address in self._addresses:
-            name = self._keys_by_address.get(address, "")
-            if name and name < member_key(self._members.own):
+            key = self._keys_by_address.get(address, "")
+            if key and key < member_key(self._members.own):
                 # The peer with the smaller key dials; this one dials only
                 # if no link was opened within the period.
                 await anyio.sleep(REDIAL_PERIOD_S)
-            peer = self.peers.get(name)
+            peer = self.peers.get(key)
             if peer is not None:
                 await peer.closed.wait()
                 continue
