--- a/wisteriawood/platform/__init__.py
+++ b/wisteriawood/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: only translates between its words and ours."""
+"""Adapter that translates between the users' platform and the product."""
--- a/wisteriawood/platform/__main__.py
+++ b/wisteriawood/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a job host on the users' platform."""
+"""Entry point of a job host on the users' platform."""
 
 import functools
 import signal
@@ -22,24 +22,25 @@
 from wisteriawood.telemetry import lines
 
 _LOG = events.Logger(name=__name__)
-# Longest lease asked for; a longer one delays the proof that a worker's
-# runs are over more than it helps them to outlive a change of holder.
-LEASE_S = 6.0
-# Rest of the feed of workers: each of them writes its entry every second or
-# so, and a draining one has to be known within two.
-WORKERS_PAUSE_S = 0.4
-# The same on a host that holds no cell, and reads them once it claims one.
-IDLE_PAUSE_S = 4.0
-# Time in which the balancer sees that the host is not ready any more.
+# Longest lease requested. A longer one would let runs survive a slower change
+# of holder, but that gains less than it costs: the runs of a lost worker are
+# known to have ended only when its lease has expired.
+MAX_LEASE_S = 6.0
+# Pause between polls of the worker directory. Each worker writes its entry
+# about once a second, and a draining worker must be detected within 2 s.
+WORKERS_POLL_PAUSE_S = 0.4
+# The same on a host without cells; claiming a cell triggers a poll at once.
+IDLE_WORKERS_POLL_PAUSE_S = 4.0
+# Time for the balancer to detect that the host is no longer ready.
 DRAIN_NOTICE_S = 1.2
-# Part of the grace after which requests in flight are no longer awaited.
-DRAIN_SHARE = 0.8
-# Further time for which ended jobs are kept, for clocks that differ.
-KEEP_MARGIN_S = 30.0
+# Share of the grace period for which requests in flight are awaited.
+DRAIN_GRACE_SHARE = 0.8
+# Additional time for which ended jobs are retained, as clocks differ.
+RETENTION_MARGIN_S = 30.0
 
 
 class PlatformDaemon:
-    """A job host between the platform's callers, store and workers.
+    """Connects a job host to the platform's callers, store and workers.
 
     Args:
         config: Settings of the host.
@@ -50,10 +51,10 @@
         "_front",
         "_host",
         "_intake",
-        "_rows",
-        "_served",
+        "_server_closed",
         "_stopping",
         "_store",
+        "_worker_rows",
         "config",
     )
 
@@ -66,18 +67,18 @@
             zones=config.zones,
             store=self._store,
             dial=_dial,
-            lease_s=min(LEASE_S, config.bounds.hold_max_ms / 1000),
-            keep_s=config.bounds.status_s + KEEP_MARGIN_S,
+            lease_s=min(MAX_LEASE_S, config.bounds.hold_max_ms / 1000),
+            keep_s=config.bounds.status_s + RETENTION_MARGIN_S,
             cores=config.limits.cpu_share * config.limits.cores,
         )
         self._intake = intakes.Intake(host=self._host)
         self._front = fronts.Front(host=self._host, intake=self._intake)
-        self._rows: dict[str, stores.StoredRow] = {}
+        self._worker_rows: dict[str, stores.StoredRow] = {}
         self._fleet: dict[str, runners.Registration] = {}
         self._stopping = anyio.Event()
-        self._served = anyio.Event()
+        self._server_closed = anyio.Event()
 
-    def _take_operator(self, rows: list[stores.StoredRow]) -> None:
+    def _process_operator_rows(self, rows: list[stores.StoredRow]) -> None:
         for row in rows:
             if row.at.key != directory.CONFIGURATION_KEY or not row.value:
                 continue
@@ -88,21 +89,21 @@
                 continue
             self._front.max_body_bytes = max_bytes
             self._host.use_queues(table)
-            self._read_workers()
+            self._update_fleet()
 
-    def _take_workers(self, rows: list[stores.StoredRow]) -> None:
+    def _process_worker_rows(self, rows: list[stores.StoredRow]) -> None:
         for row in rows:
             if row.value is None:
-                self._rows.pop(row.at.key, None)
+                self._worker_rows.pop(row.at.key, None)
             else:
-                self._rows[row.at.key] = row
-        self._read_workers()
+                self._worker_rows[row.at.key] = row
+        self._update_fleet()
 
-    def _read_workers(self) -> None:
+    def _update_fleet(self) -> None:
         table = self._host.queues
         services = table.services() if table else set()
         fleet = {}
-        for worker_id, row in self._rows.items():
+        for worker_id, row in self._worker_rows.items():
             try:
                 fleet[worker_id] = directory.decode_worker(
                     worker_id, row.value or b"", services
@@ -120,8 +121,8 @@
     async def _watch_signals(self) -> None:
         with anyio.open_signal_receiver(
             signal.SIGTERM, signal.SIGINT, signal.SIGHUP
-        ) as caught:
-            async for number in caught:
+        ) as signals:
+            async for number in signals:
                 if number == signal.SIGHUP:
                     self._reload()
                     continue
@@ -143,21 +144,27 @@
         await self._host.drain()
         await anyio.sleep(DRAIN_NOTICE_S)
         self._stopping.set()
-        with anyio.move_on_after(self.config.bounds.grace_s * DRAIN_SHARE):
-            await self._served.wait()
+        with anyio.move_on_after(
+            self.config.bounds.grace_s * DRAIN_GRACE_SHARE
+        ):
+            await self._server_closed.wait()
 
     async def _serve(self) -> None:
         listen = self.config.listen_addrs
         await https.serve_until(
             self._front, [listen.front, listen.ready], self._stopping
         )
-        self._served.set()
+        self._server_closed.set()
 
-    def _workers_pause_s(self) -> float:
-        return WORKERS_PAUSE_S if self._host.is_holding() else IDLE_PAUSE_S
+    def _workers_poll_pause_s(self) -> float:
+        return (
+            WORKERS_POLL_PAUSE_S
+            if self._host.is_holding()
+            else IDLE_WORKERS_POLL_PAUSE_S
+        )
 
     async def run(self) -> None:
-        """Run until the platform stops the process."""
+        """Run until the platform sends SIGTERM or SIGINT."""
         writer = lines.log_to_output(fields={"host": self.config.node_name})
         _LOG.log(events.DAEMON_STARTED, name=self.config.node_name)
         async with anyio.create_task_group() as group:
@@ -165,16 +172,19 @@
             group.start_soon(self._serve)
             group.start_soon(self._host.run)
             group.start_soon(self._intake.run)
-            for table, take, pause_s in (
-                (directory.OPERATOR_TABLE, self._take_operator, None),
+            for table, process_rows, pause_s in (
+                (directory.OPERATOR_TABLE, self._process_operator_rows, None),
                 (
                     directory.WORKER_TABLE,
-                    self._take_workers,
-                    self._workers_pause_s,
+                    self._process_worker_rows,
+                    self._workers_poll_pause_s,
                 ),
             ):
                 feed = feeds.Feed(
-                    store=self._store, table=table, take=take, pause_s=pause_s
+                    store=self._store,
+                    table=table,
+                    take=process_rows,
+                    pause_s=pause_s,
                 )
                 if table == directory.WORKER_TABLE:
                     self._host.on_claim = feed.hurry
@@ -193,7 +203,7 @@
 
 
 def main() -> None:
-    """Run the host that the settings file describes."""
+    """Run the job host that the settings file describes."""
     anyio.run(functools.partial(_run))
 
 
--- a/wisteriawood/platform/bodies.py
+++ b/wisteriawood/platform/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' requests, as the product's types."""
+"""Decoding of jobs in the bodies of callers' requests."""
 
 import dataclasses
 
@@ -15,7 +15,7 @@
 @dataclasses.dataclass(slots=True, kw_only=True)
 class _Step:
     count: int = 1
-    # Thousandths of a core.
+    # In millicores.
     cpu: int = 0
     mem_mb: int = 0
     gpus: int = 0
@@ -24,9 +24,9 @@
     checkpointing: bool = False
     gang: bool = False
     same_rack: bool = False
-    # One label that the worker must have.
+    # Label that the worker must have.
     constraints: str = ""
-    # Rack on which the data lies.
+    # Rack that stores the data.
     affinity: str = ""
     # Most tasks of the step on one worker.
     anti_affinity: int = 0
@@ -35,7 +35,7 @@
     image: str = ""
     target_ms: float = 0
     fills: bool = False
-    # Tasks that may be away at the same time by our own orders.
+    # Most tasks that the product may interrupt at the same time.
     may_miss: int = 0
 
 
@@ -49,20 +49,20 @@
 
 
 def decode_job(job_id: str, queue: queues.Queue, data: bytes) -> specs.JobSpec:
-    """Return the job that a body describes.
+    """Return the job that the body of a request describes.
 
     Args:
         job_id: Id that the caller chose.
-        queue: The queue.
-        data: The body.
+        queue: Queue that the job is submitted to.
+        data: The body, in JSON.
 
     Raises:
-        UsageError: The body is no job; the message says why.
+        UsageError: The body is not a valid job; the message says why.
     """
     try:
         job = msgspec.json.decode(data, type=_Job)
     except msgspec.DecodeError as exc:
-        raise errors.UsageError(f"the body is no job: {exc}") from exc
+        raise errors.UsageError(f"the body is not a valid job: {exc}") from exc
     _check(job)
     return specs.JobSpec(
         id=job_id,
@@ -77,12 +77,16 @@
 
 def _check(job: _Job) -> None:
     if not 0 < len(job.steps) <= MAX_STEPS:
-        raise errors.UsageError(f"give 1 to {MAX_STEPS} steps")
+        raise errors.UsageError(f"a job takes 1 to {MAX_STEPS} steps")
     for number, step in enumerate(job.steps):
         if not 0 < step.count <= MAX_TASKS:
-            raise errors.UsageError(f"give 1 to {MAX_TASKS} tasks a step")
-        if any(not 0 <= before < number for before in step.after):
-            raise errors.UsageError("a step may only follow earlier steps")
+            raise errors.UsageError(
+                f"step {number}: count takes 1 to {MAX_TASKS} tasks"
+            )
+        if any(not 0 <= earlier < number for earlier in step.after):
+            raise errors.UsageError(
+                f"step {number}: after takes only numbers of earlier steps"
+            )
 
 
 def _decode_step(step: _Step) -> specs.StepSpec:
--- a/wisteriawood/platform/directory.py
+++ b/wisteriawood/platform/directory.py
@@ -1,4 +1,4 @@
-"""Rows that the operator and the workers write, as the product's types."""
+"""Decoding of the rows that the operator and the workers write."""
 
 import dataclasses
 
@@ -23,14 +23,15 @@
 @dataclasses.dataclass(slots=True, kw_only=True)
 class _Worker:
     service: str
-    # Address of the worker's own interface.
+    # Address of the worker's API, as host:port.
     address: str
     zone: str
     state: str
     capacity: _Capacity = dataclasses.field(default_factory=_Capacity)
-    # The worker's kind, then its rack.
+    # First the kind of the worker, then its rack.
     labels: list[str] = dataclasses.field(default_factory=list)
     remaining_ms: float = 0
+    # Start of this instance of the worker, in Unix milliseconds.
     born: int = 0
 
 
@@ -44,7 +45,7 @@
 @dataclasses.dataclass(slots=True, kw_only=True)
 class _Route:
     name: str
-    # Name that callers give in the header Host.
+    # Host name in the Host header of callers' requests.
     hostname: str = ""
     prefix: str = "/"
     service: str = ""
@@ -71,58 +72,62 @@
 def decode_worker(
     worker_id: str, data: bytes, services: set[str]
 ) -> runners.Registration:
-    """Return the worker that an entry of the directory names.
+    """Return the worker that an entry of the directory describes.
 
     Args:
-        worker_id: Its id.
-        data: The entry.
-        services: Services that the configuration names; empty if unknown.
+        worker_id: Id of the worker.
+        data: The entry, in JSON.
+        services: Services of the configuration; empty if it is unknown.
 
     Raises:
-        MessageError: The entry names no worker to use.
+        MessageError: The entry can't be decoded, or its state or service
+            is unknown.
     """
     try:
-        found = msgspec.json.decode(data, type=_Worker)
+        entry = msgspec.json.decode(data, type=_Worker)
     except msgspec.DecodeError as exc:
-        raise errors.MessageError(f"bad entry of a worker: {exc}") from exc
-    if found.state not in ("ready", "draining"):
-        raise errors.MessageError(f"unknown state {found.state!r}")
-    if services and found.service not in services:
-        raise errors.MessageError(f"unknown service {found.service!r}")
+        raise errors.MessageError(f"invalid entry of a worker: {exc}") from exc
+    if entry.state not in ("ready", "draining"):
+        raise errors.MessageError(f"unknown state {entry.state!r}")
+    if services and entry.service not in services:
+        raise errors.MessageError(f"unknown service {entry.service!r}")
     return runners.Registration(
         worker_id=worker_id,
-        service=found.service,
-        address=found.address,
-        zone=found.zone,
-        labels=found.labels,
-        rack=found.labels[1] if len(found.labels) > 1 else "",
-        cpu_millicores=found.capacity.cpu,
-        memory_mb=found.capacity.mem_mb,
-        accelerators=found.capacity.gpus,
-        is_draining=found.state == "draining",
-        remaining_ms=int(found.remaining_ms),
-        born_unix_ms=found.born,
+        service=entry.service,
+        address=entry.address,
+        zone=entry.zone,
+        labels=entry.labels,
+        rack=entry.labels[1] if len(entry.labels) > 1 else "",
+        cpu_millicores=entry.capacity.cpu,
+        memory_mb=entry.capacity.mem_mb,
+        accelerators=entry.capacity.gpus,
+        is_draining=entry.state == "draining",
+        remaining_ms=int(entry.remaining_ms),
+        born_unix_ms=entry.born,
     )
 
 
 def decode_configuration(data: bytes) -> tuple[queues.QueueTable, int]:
-    """Return the queues of a configuration and its bound on bodies.
+    """Return the queues of a configuration and its body size limit.
 
     Args:
-        data: The configuration.
+        data: The configuration, in JSON.
+
+    Returns:
+        The queues, and the largest body of a request in bytes.
 
     Raises:
-        MessageError: It can't be read.
+        MessageError: The configuration can't be decoded.
     """
     try:
-        found = msgspec.json.decode(data, type=_Configuration)
+        document = msgspec.json.decode(data, type=_Configuration)
     except msgspec.DecodeError as exc:
-        raise errors.MessageError(f"bad configuration: {exc}") from exc
+        raise errors.MessageError(f"invalid configuration: {exc}") from exc
     table = queues.QueueTable(
-        version=found.version,
-        queues=[_decode_route(route) for route in found.routes],
+        version=document.version,
+        queues=[_decode_route(route) for route in document.routes],
     )
-    return table, found.limits.max_body_bytes
+    return table, document.limits.max_body_bytes
 
 
 def _decode_route(route: _Route) -> queues.Queue:
--- a/wisteriawood/platform/fronts.py
+++ b/wisteriawood/platform/fronts.py
@@ -1,4 +1,4 @@
-"""HTTP front of a job host for callers and for the balancer."""
+"""HTTP front end of a job host, for callers and the load balancer."""
 
 import math
 import re
@@ -23,18 +23,19 @@
 _JOB_ID = re.compile(r"[0-9a-f]{16}")
 JSON_TYPE = (b"content-type", b"application/json")
 
+# Status, body and seconds for the header Retry-After; 0 for no header.
 Answer = tuple[int, typing.Any, float]
 
 
 class Front:
-    """Answers HTTP requests by the product's intake.
+    """ASGI application that passes callers' requests to the intake.
 
     Args:
         host: The job host.
-        intake: Answers callers.
+        intake: Submits, looks up and cancels jobs.
 
     Attributes:
-        max_body_bytes: Largest body that is read.
+        max_body_bytes: Size above which a request's body is refused.
     """
 
     __slots__ = ("_host", "_intake", "max_body_bytes")
@@ -45,15 +46,15 @@
         self.max_body_bytes = 262144
 
     async def __call__(self, scope, receive, send) -> None:
-        """Answer one request; called by the server."""
+        """Answer one request; called by the ASGI server."""
         if scope["type"] == "lifespan":
             await https.serve_lifespan(receive, send)
             return
         status, body, retry_after_s = await self._answer(scope, receive)
         headers = [JSON_TYPE]
         if retry_after_s:
-            after = str(math.ceil(retry_after_s)).encode()
-            headers.append((b"retry-after", after))
+            retry_after = str(math.ceil(retry_after_s)).encode()
+            headers.append((b"retry-after", retry_after))
         if self._host.is_draining:
             headers.append((b"connection", b"close"))
         if not isinstance(body, bytes):
@@ -106,7 +107,9 @@
             return 200, {"pending": self._intake.pending(queue)}, 0
         if not _JOB_ID.fullmatch(job_id):
             if method == "POST":
-                raise errors.UsageError("a job's id has 16 hexadecimal digits")
+                raise errors.UsageError(
+                    "a job id has 16 lowercase hexadecimal digits"
+                )
             return 410, {}, 0
         timeout_s = _timeout_s(headers, queue)
         if method == "POST":
@@ -131,12 +134,14 @@
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
-                raise errors.UsageError("the body ended early")
+                raise errors.UsageError(
+                    "the caller disconnected before the end of the body"
+                )
             chunk = message.get("body", b"")
             size_bytes += len(chunk)
             if size_bytes > self.max_body_bytes:
                 raise errors.RequestNotRunError(
-                    reason=f"the body is over {self.max_body_bytes} bytes",
+                    reason=f"the body exceeds {self.max_body_bytes} bytes",
                     status=413,
                     retry_after_s=0,
                 )
@@ -146,9 +151,9 @@
 
 
 def _timeout_s(headers: dict[bytes, bytes], queue: queues.Queue) -> float:
-    """Return for how long the caller waits."""
+    """Return how long the caller waits for the answer, in seconds."""
     text = headers.get(DEADLINE_HEADER, b"")
-    waits_ms = queue.timeout_ms
+    timeout_ms = queue.timeout_ms
     if text.isdigit() and len(text) < 9:
-        waits_ms = min(waits_ms, int(text))
-    return waits_ms / 1000
+        timeout_ms = min(timeout_ms, int(text))
+    return timeout_ms / 1000
--- a/wisteriawood/platform/settings.py
+++ b/wisteriawood/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of the platform, as far as a job host uses it."""
+"""Settings file of a job host, in the platform's format."""
 
 import dataclasses
 import os
@@ -16,8 +16,8 @@
     """Addresses to listen on.
 
     Attributes:
-        front: For callers.
-        ready: For the balancer's question whether the host is ready.
+        front: Address for callers' requests.
+        ready: Address for the balancer's readiness checks.
     """
 
     front: str
@@ -26,10 +26,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class StoreAccess:
-    """Where the store is, and what it takes.
+    """Access to the store.
 
     Attributes:
-        address: Its address.
+        address: Address of the store, as host:port.
         tx_ms: Time that a transaction takes.
     """
 
@@ -39,11 +39,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class CloudAccess:
-    """Where machines are moved and serviced.
+    """Access to the service that moves machines.
 
     Attributes:
-        address: Its address.
-        duty_per_s: Orders that it takes a second, from all hosts.
+        address: Address of the service.
+        duty_per_s: Requests per second that it accepts from all hosts
+            together.
     """
 
     address: str = ""
@@ -52,11 +53,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Limits:
-    """What a process may use.
+    """Resources that the process may use.
 
     Attributes:
-        cpu_share: Share of a core of the machine; 0 if unknown.
-        cores: Speed of that core, as a multiple of a usual one.
+        cpu_share: Share of one core of the machine; 0 if unknown.
+        cores: Speed of that core, as a multiple of a reference core.
     """
 
     cpu_share: float = 0.0
@@ -65,12 +66,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Bounds:
-    """Bounds of the deployment.
+    """Time limits of the deployment.
 
     Attributes:
         hold_max_ms: Longest lease of a worker.
-        status_s: Time for which the state of an ended job can be asked.
-        grace_s: Time between the order to stop and the kill.
+        status_s: Time for which the state of an ended job can be queried.
+        grace_s: Time between the signal to stop and the kill.
     """
 
     hold_max_ms: int = 6000
@@ -87,12 +88,12 @@
         zone: Its availability zone.
         zones: Region of each zone.
         listen_addrs: Addresses to listen on.
-        platform: The store.
-        cloud_api: The service that moves machines.
+        platform: Access to the store.
+        cloud_api: Access to the service that moves machines; None for none.
         advice: Address of the advice service; None for none.
         contracts: Parts of the rules that are in force.
-        bounds: Bounds of the deployment.
-        limits: What the process may use.
+        bounds: Time limits of the deployment.
+        limits: Resources that the process may use.
     """
 
     node_name: str
@@ -108,13 +109,14 @@
 
 
 def load(path: str = "") -> Settings:
-    """Return the settings that the environment names.
+    """Return the settings of this host.
 
     Args:
-        path: Name of the file; empty for the one of the environment.
+        path: Name of the file; if empty, the value of the variable
+            WISTERIAWOOD_SETTINGS, or else DEFAULT_PATH.
 
     Raises:
-        SettingsError: The file can't be read or lacks a field.
+        SettingsError: The file can't be read or decoded.
     """
     path = path or os.environ.get(PATH_VARIABLE, DEFAULT_PATH)
     try:
@@ -125,5 +127,5 @@
             file=path,
             path="$",
             found=str(exc),
-            remedy="give the platform's settings file of this host",
+            remedy="give the platform's settings file for this host",
         ) from exc
--- a/wisteriawood/platform/standins.py
+++ b/wisteriawood/platform/standins.py
@@ -1,8 +1,9 @@
-"""The platform's wire in memory, for tests of the adapter and the soak.
+"""In-memory platform for tests of the adapter and the soak tests.
 
-Answers the calls of the store and of one worker over ASGI, in the words of
-the wire, from the product's own stand-ins, and writes what the operator, the
-workers and callers would.
+ASGI applications answer the calls of the platform's store and of one worker
+in the platform's own format; the product's stand-ins hold the data. Functions
+write the rows, files and bodies that the operator, the workers and callers
+write on the real platform.
 """
 
 import base64
@@ -22,10 +23,10 @@
 from wisteriawood.standins import runners as run_standins
 from wisteriawood.standins import stores as store_standins
 
-# Time between two looks for an end while a call waits for one.
-WAIT_TICK_S = 0.02
+# Period at which a waiting call checks for ended runs.
+END_POLL_PERIOD_S = 0.02
 
-_REASONS = {
+_REFUSAL_REASONS = {
     runners.StartAnswer.FENCED: "fence",
     runners.StartAnswer.OLD_RUN: "old",
     runners.StartAnswer.TOO_LATE: "late",
@@ -34,11 +35,11 @@
 
 
 class WireError(errors.WisteriawoodError):
-    """A call ends with another status than 200.
+    """A call is answered with a status other than 200.
 
     Args:
-        status: The status.
-        body: The body.
+        status: HTTP status of the answer.
+        body: Body of the answer; None for an empty object.
     """
 
     def __init__(self, *, status: int, body: dict | None = None):
@@ -70,29 +71,32 @@
 
 
 def _encode_row(row: stores.StoredRow) -> dict:
-    found = {
+    fields = {
         "table": row.at.table,
         "part": row.at.part,
         "key": row.at.key,
         "ver": row.version,
     }
     if row.value is None:
-        return found | {"deleted": True}
-    return found | {"value": base64.b64encode(row.value).decode()}
+        return fields | {"deleted": True}
+    return fields | {"value": base64.b64encode(row.value).decode()}
 
 
 class WireStore:
-    """The store's calls over ASGI, as one host sees them.
+    """ASGI application with the calls of the store, for one host.
 
     Args:
-        store: Keeps the rows.
-        addresses: Addresses under which the host reaches the workers, by
-            id; empty for those that they write.
+        store: Holds the rows.
+        addresses: Addresses at which the host reaches the workers, by
+            worker id; a worker that is not in it keeps the address in its
+            entry.
 
     Attributes:
-        status: Status of each answer; 0 for what the store says.
-        unanswered: Changes to come whose answer never leaves.
-        late_s: Time after which those take effect.
+        status: Status with which every call is refused; 0 to answer calls
+            normally.
+        unanswered: Number of next changes that are committed without an
+            answer to the host.
+        late_s: Delay before such a change is committed.
     """
 
     __slots__ = ("_addresses", "_store", "late_s", "status", "unanswered")
@@ -119,8 +123,8 @@
         if self.status:
             await _send(send, self.status, {})
             return
-        is_lost = scope["path"] == "/v1/rows-tx" and self.unanswered > 0
-        if is_lost:
+        is_dropped = scope["path"] == "/v1/rows-tx" and self.unanswered > 0
+        if is_dropped:
             self.unanswered -= 1
             await anyio.sleep(self.late_s)
         try:
@@ -128,12 +132,12 @@
         except WireError as exc:
             await _send(send, exc.status, exc.body)
             return
-        if is_lost:
-            raise errors.LinkClosedError("the answer is lost")
+        if is_dropped:
+            raise errors.LinkClosedError("the answer was dropped")
         await _send(send, 200, answer)
 
-    def _encode(self, row: stores.StoredRow) -> dict:
-        """Return a row with the addresses that this host may use."""
+    def _encode_for_host(self, row: stores.StoredRow) -> dict:
+        """Encode a row, with the worker's address as this host reaches it."""
         address = self._addresses.get(row.at.key)
         if row.at.table != directory.WORKER_TABLE or not address:
             return _encode_row(row)
@@ -163,7 +167,7 @@
         if path != "/v1/rows-get":
             raise WireError(status=404)
         rows = [
-            self._encode(row)
+            self._encode_for_host(row)
             for at, row in sorted(
                 self._store.rows.items(), key=lambda item: item[0].key
             )
@@ -179,17 +183,18 @@
         }
 
     def _commit(self, body: dict) -> dict:
-        def _key(row):
+        def _decode_key(row):
             return stores.RowKey(
                 table=row["table"], part=row["part"], key=row["key"]
             )
 
         change = stores.Change(
-            expected={_key(r): r["ver"] for r in body["expected_rev"]},
+            expected={_decode_key(r): r["ver"] for r in body["expected_rev"]},
             writes={
-                _key(r): base64.b64decode(r["value"]) for r in body["set_keys"]
+                _decode_key(r): base64.b64decode(r["value"])
+                for r in body["set_keys"]
             }
-            | {_key(r): None for r in body["remove"]},
+            | {_decode_key(r): None for r in body["remove"]},
         )
         try:
             return {"ver": self._store.apply(change)}
@@ -207,17 +212,17 @@
                 await self._store.wait()
             rows = self._store.changes(query["table"], int(query["after"]))
         return {
-            "rows": [self._encode(row) for row in rows],
+            "rows": [self._encode_for_host(row) for row in rows],
             "ver": self._store.version,
         }
 
 
 class WireWorker:
-    """A worker's calls over ASGI.
+    """ASGI application with the calls of a worker.
 
     Args:
         worker: Runs the tasks.
-        worker_id: Id that its callers must expect.
+        worker_id: Id that callers must send in x-expect-instance.
     """
 
     __slots__ = ("_worker", "_worker_id")
@@ -240,7 +245,7 @@
             return
         try:
             if scope["path"] == "/v1/hold":
-                await self._wait(body)
+                await self._renew_and_wait(body)
             answer = self._answer(scope["path"], body)
         except runners.FencedError:
             await _send(send, 409, {"reason": "fence"})
@@ -251,16 +256,16 @@
         clock = {"clock_ms": self._worker.clock_ms()}
         await _send(send, 200, clock | answer)
 
-    async def _wait(self, body: dict) -> None:
-        """Renew the lease and wait for an end as long as asked."""
+    async def _renew_and_wait(self, body: dict) -> None:
+        """Renew the lease and wait up to wait_ms for the end of a run."""
         worker = self._worker
         worker.check_token(body.get("fencing_token", 0))
         worker.renew(body.get("deadline_ms", 0))
         worker.report(body["last_seen"])
         waited_ms = 0.0
         while waited_ms < body.get("wait_ms", 0) and not worker.has_ends():
-            await anyio.sleep(WAIT_TICK_S)
-            waited_ms += WAIT_TICK_S * 1000
+            await anyio.sleep(END_POLL_PERIOD_S)
+            waited_ms += END_POLL_PERIOD_S * 1000
 
     def _answer(self, path: str, body: dict) -> dict:
         worker = self._worker
@@ -301,8 +306,10 @@
             checkpoint=body.get("checkpoint", ""),
         )
         answer = self._worker.begin_run(order)
-        if answer in _REASONS:
-            raise WireError(status=409, body={"reason": _REASONS[answer]})
+        if answer in _REFUSAL_REASONS:
+            raise WireError(
+                status=409, body={"reason": _REFUSAL_REASONS[answer]}
+            )
         return {}
 
 
@@ -314,7 +321,7 @@
     Args:
         store: The store.
         version: Version of the configuration.
-        queue: Its only queue.
+        queue: The only queue of the configuration.
     """
     value = {
         "version": version,
@@ -339,32 +346,32 @@
 
 def write_worker(
     store: store_standins.MemoryStore,
-    found: runners.Registration | None,
+    registration: runners.Registration | None,
     worker_id: str,
 ) -> None:
-    """Write the entry of a worker, as it does itself.
+    """Write the directory entry of a worker, as the worker does.
 
     Args:
         store: The store.
-        found: The worker; None once it has left.
-        worker_id: Its id.
+        registration: The worker; None to delete its entry.
+        worker_id: Id of the worker.
     """
     at = stores.RowKey(table=directory.WORKER_TABLE, key=worker_id)
-    if found is None:
+    if registration is None:
         store.apply(stores.Change(writes={at: None}))
         return
     value = {
-        "service": found.service,
-        "address": found.address,
-        "zone": found.zone,
-        "state": "draining" if found.is_draining else "ready",
-        "labels": ["kind", found.rack],
+        "service": registration.service,
+        "address": registration.address,
+        "zone": registration.zone,
+        "state": "draining" if registration.is_draining else "ready",
+        "labels": ["kind", registration.rack],
         "capacity": {
-            "cpu": found.cpu_millicores,
-            "mem_mb": found.memory_mb,
-            "gpus": found.accelerators,
+            "cpu": registration.cpu_millicores,
+            "mem_mb": registration.memory_mb,
+            "gpus": registration.accelerators,
         },
-        "remaining_ms": found.remaining_ms,
+        "remaining_ms": registration.remaining_ms,
     }
     store.apply(stores.Change(writes={at: json.dumps(value).encode()}))
 
@@ -382,11 +389,11 @@
 
     Args:
         name: Name of the host.
-        zone: Its availability zone.
+        zone: Availability zone of the host.
         zones: All availability zones.
-        front: Address to listen on for callers, as host:port.
-        ready: Address to listen on for the balancer.
-        store: Address of the store.
+        front: Address for callers' requests, as host:port.
+        ready: Address for the balancer's readiness checks, as host:port.
+        store: Address of the store, as host:port.
     """
     value = {
         "node_name": name,
@@ -400,7 +407,7 @@
 
 
 def encode_job(spec: specs.JobSpec) -> bytes:
-    """Return the body with which a caller hands a job in.
+    """Return the body with which a caller submits a job.
 
     Args:
         spec: The job.
--- a/wisteriawood/platform/store_client.py
+++ b/wisteriawood/platform/store_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's metadata store."""
+"""Client of the platform's metadata store."""
 
 import base64
 import binascii
@@ -12,15 +12,16 @@
 from wisteriawood.links import clients
 from wisteriawood.links import stores
 
-# Bounds of the time that a call may take, and its factor on the usual.
+# The timeout of a call is a multiple of the average time of earlier calls,
+# within these bounds.
 MIN_TIMEOUT_S = 0.35
 MAX_TIMEOUT_S = 2.5
-TIMEOUT_X = 6.0
-# Weight of the newest call in the usual time.
+TIMEOUT_FACTOR = 6.0
+# Weight of the newest call in the exponential moving average.
 NEWEST_WEIGHT = 0.2
 CONNECT_TIMEOUT_S = 0.5
 PAGE_ROWS = 500
-CONNECTIONS = 16
+MAX_CONNECTIONS = 16
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -48,7 +49,7 @@
     try:
         value = base64.b64decode(row.value, validate=True)
     except (binascii.Error, ValueError):
-        # Bytes that no reader understands name nothing; each reader logs.
+        # Treat an invalid value as empty; the readers of the row log it.
         value = b""
     return stores.StoredRow(at=at, value=value, version=row.ver)
 
@@ -58,7 +59,7 @@
         {"table": at.table, "part": at.part, "key": at.key, "ver": version}
         for at, version in change.expected.items()
     ]
-    kept = [
+    writes = [
         {
             "table": at.table,
             "part": at.part,
@@ -68,25 +69,25 @@
         for at, value in change.writes.items()
         if value is not None
     ]
-    removed = [
+    removals = [
         {"table": at.table, "part": at.part, "key": at.key}
         for at, value in change.writes.items()
         if value is None
     ]
     return msgspec.json.encode(
-        {"expected_rev": expected, "set_keys": kept, "remove": removed}
+        {"expected_rev": expected, "set_keys": writes, "remove": removals}
     )
 
 
 class TableStore:
-    """The store over HTTP, behind the product's interface.
+    """Client of the store over HTTP; implements links.stores.Store.
 
     Args:
         address: Address of the store, as host:port.
-        transport: Carries the calls; None for one of its own.
+        transport: HTTP transport; None for the default.
     """
 
-    __slots__ = ("_client", "_usual_s")
+    __slots__ = ("_average_s", "_client")
 
     def __init__(
         self,
@@ -97,14 +98,14 @@
         self._client = clients.Client(
             url=f"http://{address}",
             timeout_s=MAX_TIMEOUT_S,
-            connections=CONNECTIONS,
+            connections=MAX_CONNECTIONS,
             transport=transport,
         )
-        self._usual_s = MIN_TIMEOUT_S / TIMEOUT_X
+        self._average_s = MIN_TIMEOUT_S / TIMEOUT_FACTOR
 
     def _timeout_s(self) -> float:
         return min(
-            max(TIMEOUT_X * self._usual_s, MIN_TIMEOUT_S), MAX_TIMEOUT_S
+            max(TIMEOUT_FACTOR * self._average_s, MIN_TIMEOUT_S), MAX_TIMEOUT_S
         )
 
     async def _call(
@@ -117,7 +118,7 @@
         wait_s: float = 0.0,
     ) -> httpx.Response:
         timeout_s = self._timeout_s()
-        began_at_s = anyio.current_time()
+        started_at_s = anyio.current_time()
         try:
             response = await self._client.request(
                 method,
@@ -129,16 +130,18 @@
                 ),
             )
         except httpx.TimeoutException:
-            # A slow store gets more time at the next call.
-            self._usual_s = min(2 * self._usual_s, MAX_TIMEOUT_S / TIMEOUT_X)
+            # Allow the next call twice the time.
+            self._average_s = min(
+                2 * self._average_s, MAX_TIMEOUT_S / TIMEOUT_FACTOR
+            )
             raise
         if not wait_s:
-            took_s = anyio.current_time() - began_at_s
-            self._usual_s += NEWEST_WEIGHT * (took_s - self._usual_s)
+            duration_s = anyio.current_time() - started_at_s
+            self._average_s += NEWEST_WEIGHT * (duration_s - self._average_s)
         return response
 
     async def commit(self, change: stores.Change) -> int:
-        """Commit a change and return the version of its rows."""
+        """Commit a change and return the new version of its rows."""
         try:
             response = await self._call(
                 "POST", "/v1/rows-tx", content=_encode_change(change)
@@ -149,7 +152,7 @@
             ) from exc
         except httpx.HTTPError as exc:
             raise errors.TransactionUnknownError(
-                f"the store did not answer a change: {exc!r}"
+                f"the store did not answer a transaction: {exc!r}"
             ) from exc
         if response.status_code == 412:
             answer = self._decode(response)
@@ -158,11 +161,12 @@
             )
         if response.status_code in (429, 503):
             raise errors.PlatformUnavailableError(
-                f"the store refused a change with {response.status_code}"
+                f"the store refused a transaction: {response.status_code}"
             )
         if response.status_code != 200:
             raise errors.TransactionUnknownError(
-                f"the store answered a change with {response.status_code}: "
+                "the store answered a transaction with "
+                f"{response.status_code}: "
                 f"{response.text[:200]}"
             )
         return self._decode(response).ver
@@ -172,7 +176,7 @@
             return msgspec.json.decode(response.content, type=_Answer)
         except msgspec.DecodeError as exc:
             raise errors.TransactionUnknownError(
-                f"the store's answer can't be read: {exc}"
+                f"the store's answer can't be decoded: {exc}"
             ) from exc
 
     async def _get(
@@ -187,7 +191,9 @@
                 f"the store does not answer: {exc!r}"
             ) from exc
         if response.status_code == 410:
-            raise stores.HistoryLostError("the store forgot its history")
+            raise stores.HistoryLostError(
+                "the store no longer has the changes after this version"
+            )
         if response.status_code != 200:
             raise errors.PlatformUnavailableError(
                 f"the store answered {response.status_code}"
@@ -197,7 +203,7 @@
     async def read(
         self, table: str, part: str, *, key: str = ""
     ) -> stores.Page:
-        """Return the rows of a partition, or one of them."""
+        """Return the rows of a partition, or only the one with a key."""
         params = {"table": table, "part": part}
         if key:
             answer = await self._get(
@@ -211,12 +217,13 @@
             answer = await self._get(
                 "/v1/rows-get", params | {"limit": PAGE_ROWS}
             )
-            # A later page may be newer; a feed starts from the first.
+            # Later pages may be newer. A feed that continues from the version
+            # of the first page misses no change.
             version = version or answer.ver
             found.update({row.key: _decode_row(row) for row in answer.rows})
             if not answer.has_more or not answer.rows:
                 return stores.Page(rows=list(found.values()), version=version)
-            # The range begins with this key, so its row comes again.
+            # "from" is inclusive: the next page repeats this row.
             params["from"] = answer.rows[-1].key
 
     async def parts(self, table: str) -> list[str]:
--- a/wisteriawood/platform/worker_client.py
+++ b/wisteriawood/platform/worker_client.py
@@ -1,4 +1,4 @@
-"""Orders to a worker of the platform."""
+"""Client of a worker of the platform."""
 
 import dataclasses
 
@@ -11,12 +11,12 @@
 from wisteriawood.links import runners
 
 CALL_TIMEOUT_S = 0.8
-# What an answer may take beyond the time that the worker was told to wait.
+# Time that an answer may take in addition to the requested wait.
 RENEW_TIMEOUT_S = 0.8
 CONNECT_TIMEOUT_S = 0.5
-CONNECTIONS = 4
+MAX_CONNECTIONS = 4
 
-_REASONS = {
+_REFUSALS = {
     "fence": runners.StartAnswer.FENCED,
     "old": runners.StartAnswer.OLD_RUN,
     "late": runners.StartAnswer.TOO_LATE,
@@ -33,20 +33,22 @@
 @dataclasses.dataclass(slots=True, kw_only=True)
 class _Report:
     clock_ms: int
-    # [task, run, checkpoint, percent, tail or processor in use]
+    # [task, run, checkpoint, percent, signal]; the signal is the tail latency
+    # of a latency-sensitive task in ms, of any other task its CPU usage in
+    # millicores.
     active: list[list] = dataclasses.field(default_factory=list)
-    # [number, task, run, how, checkpoint]
+    # [number, task, run, outcome, checkpoint]
     finished: list[list] = dataclasses.field(default_factory=list)
-    # Unix milliseconds of the start of this life of the worker.
+    # Start of this instance of the worker, in Unix milliseconds.
     born: int = 0
 
 
 class WorkerClient:
-    """Calls to one worker over HTTP.
+    """Client of one worker over HTTP; implements links.runners.RunLink.
 
     Args:
-        registration: The worker in the directory.
-        transport: Carries the calls; None for one of its own.
+        registration: Directory entry of the worker.
+        transport: HTTP transport; None for the default.
     """
 
     __slots__ = ("_client", "_headers")
@@ -60,7 +62,7 @@
         self._client = clients.Client(
             url=f"http://{registration.address}",
             timeout_s=CALL_TIMEOUT_S,
-            connections=CONNECTIONS,
+            connections=MAX_CONNECTIONS,
             transport=transport,
         )
         self._headers = [
@@ -84,18 +86,26 @@
                 f"the worker does not answer: {exc!r}"
             ) from exc
         if response.status_code == 421:
-            raise runners.OtherLifeError("another worker answers here")
+            raise runners.OtherLifeError(
+                "another instance answers at the worker's address"
+            )
         return response
 
-    async def _order(self, path: str, body: dict) -> None:
-        """Send an order whose refusal can only mean a newer holder."""
+    async def _send_command(self, path: str, body: dict) -> None:
+        """Send a command that a worker refuses only if a newer holder exists.
+
+        Raises:
+            FencedError: The worker has seen a higher token.
+            LinkClosedError: The worker didn't answer as expected; the command
+                may have been carried out.
+        """
         response = await self._call(path, body)
         if response.status_code == 200:
             return
-        if _reason(response) == "fence":
+        if _refusal_reason(response) == "fence":
             raise runners.FencedError("the worker has seen a higher token")
         if response.status_code == 409:
-            # The run is not there any more; the next report tells.
+            # The run is no longer on the worker; the next report shows it.
             return
         raise errors.LinkClosedError(
             f"the worker answered {response.status_code}"
@@ -119,11 +129,13 @@
             return runners.StartAnswer.STARTED
         if response.status_code in (429, 503):
             return runners.StartAnswer.UNHEALTHY
-        return _REASONS.get(_reason(response), runners.StartAnswer.REFUSED)
+        return _REFUSALS.get(
+            _refusal_reason(response), runners.StartAnswer.REFUSED
+        )
 
     async def stop(self, task_name: str, run: int, token: int) -> None:
         """Stop a run."""
-        await self._order(
+        await self._send_command(
             "/v1/run-stop",
             {"task": task_name, "run": run, "fencing_token": token},
         )
@@ -131,8 +143,8 @@
     async def pace(
         self, task_name: str, run: int, percent: int, token: int
     ) -> None:
-        """Let a run work at a share of its speed."""
-        await self._order(
+        """Limit a run to a share of its full speed."""
+        await self._send_command(
             "/v1/pace",
             {
                 "task": task_name,
@@ -150,7 +162,7 @@
         lease_until_ms: int,
         wait_ms: int,
     ) -> runners.RunReport:
-        """Renew the lease, acknowledge ends and return the runs."""
+        """Renew the lease, acknowledge ended runs and return the runs."""
         body = {"fencing_token": token, "last_seen": acknowledged}
         if lease_until_ms:
             body["deadline_ms"] = lease_until_ms
@@ -159,7 +171,7 @@
         response = await self._call(
             "/v1/hold", body, RENEW_TIMEOUT_S + wait_ms / 1000
         )
-        if _reason(response) == "fence":
+        if _refusal_reason(response) == "fence":
             raise runners.FencedError("the worker has seen a higher token")
         if response.status_code != 200:
             raise errors.LinkClosedError(
@@ -168,14 +180,14 @@
         try:
             return _decode_report(response.content)
         except (msgspec.DecodeError, ValueError, TypeError) as exc:
-            raise errors.MessageError(f"bad report: {exc}") from exc
+            raise errors.MessageError(f"invalid report: {exc}") from exc
 
     async def aclose(self) -> None:
         """Close the connections."""
         await self._client.aclose()
 
 
-def _reason(response: httpx.Response) -> str:
+def _refusal_reason(response: httpx.Response) -> str:
     if response.status_code != 409:
         return ""
     try:
