--- a/wisteriawood/__main__.py
+++ b/wisteriawood/__main__.py
@@ -11,7 +11,7 @@
 
 
 def make_application() -> application.Application:
-    """Return the command-line application with all its commands."""
+    """Return the command-line application with all commands."""
     registry.load_modules(commands)
     app = application.Application(
         name="wisteriawood", version=wisteriawood.__version__
@@ -22,7 +22,7 @@
 
 
 def main() -> int:
-    """Run the command that the arguments name.
+    """Run the command given by the process's arguments.
 
     Returns:
         The exit status.
--- a/wisteriawood/commands/__init__.py
+++ b/wisteriawood/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Commands of the client and the daemons, one module each."""
+"""Subcommands of the command line, registered by name."""
--- a/wisteriawood/commands/base.py
+++ b/wisteriawood/commands/base.py
@@ -1,4 +1,4 @@
-"""What all commands share: errors, output and the registry."""
+"""Base classes, common options and the registry of the commands."""
 
 import functools
 import json
@@ -31,34 +31,34 @@
 OUTPUT_OPTION = helpers.option(
     "output",
     "o",
-    "Form of the output: text or json.",
+    "Format of the output: text or json.",
     flag=False,
     default="text",
 )
 LABEL_OPTION = helpers.option(
     "label",
     "l",
-    "Tasks that have this label, as KEY=VALUE; all of several.",
+    "Select tasks with this label, as KEY=VALUE; repeat to require several.",
     flag=False,
     multiple=True,
 )
 RECORDS_OPTION = helpers.option(
     "records",
     "r",
-    "File of traces or events of a daemon, or a folder of them.",
+    "File with traces or events of a daemon, or a folder of such files.",
     flag=False,
     multiple=True,
 )
 
 
 class BaseCommand(command.Command):
-    """A command that reports errors in one line with an exit status."""
+    """A command that prints errors as one line and sets the exit status."""
 
     arguments: typing.ClassVar[list] = []
     options: typing.ClassVar[list[option.Option]] = []
 
     def handle(self) -> int:
-        """Run the command; called by the library.
+        """Run the command; called by cleo.
 
         Returns:
             The exit status.
@@ -70,47 +70,47 @@
             return exc.exit_code
 
     def execute_command(self) -> int | None:
-        """Do what the command is for.
+        """Run the command and return its exit status; None means 0.
 
         Raises:
-            WisteriawoodError: It could not be done.
+            WisteriawoodError: The command failed.
         """
         raise NotImplementedError
 
     def wants_json(self) -> bool:
-        """Tell whether the output is to be JSON.
+        """Return whether the output is requested as JSON.
 
         Raises:
-            UsageError: The option has another value.
+            UsageError: The option has a value other than text or json.
         """
-        form = self.option("output")
-        if form not in ("text", "json"):
+        output_format = self.option("output")
+        if output_format not in ("text", "json"):
             raise errors.UsageError("--output takes text or json")
-        return form == "json"
+        return output_format == "json"
 
     def require(self, name: str) -> str:
-        """Return the value of an option that must be given.
+        """Return the value of a required option.
 
         Args:
             name: Name of the option.
 
         Raises:
-            UsageError: It was not given.
+            UsageError: The option is missing.
         """
         value = self.option(name)
         if not value:
-            raise errors.UsageError(f"give --{name}")
+            raise errors.UsageError(f"the option --{name} is required")
         return value
 
-    def number(self, name: str, kind: type[Number]) -> Number:
-        """Return the value of an option as a number.
+    def require_number(self, name: str, kind: type[Number]) -> Number:
+        """Return the value of a required option as a number.
 
         Args:
             name: Name of the option.
-            kind: int or float.
+            kind: Type of the number, int or float.
 
         Raises:
-            UsageError: It is no such number, or below 0.
+            UsageError: The value is not such a number, or is negative.
         """
         text = self.require(name)
         try:
@@ -119,12 +119,12 @@
             value = kind(-1)
         if not value >= 0:
             raise errors.UsageError(
-                f"--{name} takes a number of 0 or more, found {text!r}"
+                f"--{name} takes a number of at least 0, found {text!r}"
             )
         return value
 
     def print_json(self, record: typing.Any) -> None:
-        """Print a record as JSON."""
+        """Print a value or record as JSON."""
         value = rows.to_value(record)
         self.line(json.dumps(value, indent=2))
 
@@ -135,10 +135,10 @@
 
 
 class PlatformCommand(BaseCommand):
-    """A command that talks to the platform."""
+    """A command that needs a connection to the platform."""
 
     def execute_command(self) -> int | None:
-        """Open the platform and run the command on it."""
+        """Connect to the platform and run the command with the connection."""
         url = self.option("platform")
         if not url:
             raise errors.UsageError(
@@ -156,31 +156,31 @@
     async def find_task_ids(
         self, platform: platforms.HttpPlatform
     ) -> list[str]:
-        """Return the ids of the tasks named, and of those with the labels.
+        """Return the ids of the tasks in the arguments and with the labels.
 
         Args:
             platform: Link to the platform.
 
         Raises:
-            UsageError: A label is no KEY=VALUE.
+            UsageError: A label does not have the form KEY=VALUE.
         """
         task_ids = list(self.argument("tasks") or [])
         pairs = [label.partition("=") for label in self.option("label") or []]
-        if any(not key or not is_pair for key, is_pair, _value in pairs):
+        if any(not key or not separator for key, separator, _value in pairs):
             raise errors.UsageError("--label takes KEY=VALUE")
-        labels = {key: value for key, _is, value in pairs}
+        labels = {key: value for key, _separator, value in pairs}
         if labels:
             found = await jobs.find_labelled(platform, labels)
             task_ids.extend(task.spec.id for task in found)
         return task_ids
 
     async def run_on(self, platform: platforms.HttpPlatform) -> int | None:
-        """Do what the command is for.
+        """Run the command and return its exit status; None means 0.
 
         Args:
             platform: Link to the platform.
 
         Raises:
-            WisteriawoodError: It could not be done.
+            WisteriawoodError: The command failed.
         """
         raise NotImplementedError
--- a/wisteriawood/commands/cancel.py
+++ b/wisteriawood/commands/cancel.py
@@ -10,10 +10,10 @@
 
 @base.COMMANDS.register("cancel")
 class CancelCommand(base.PlatformCommand):
-    """Cancels tasks, by id or by label."""
+    """Cancels tasks by id or by label."""
 
     name = "cancel"
-    description = "Cancels tasks; they stop and stay stopped."
+    description = "Cancels tasks; cancelled tasks are not started again."
     arguments = [
         helpers.argument(
             "tasks", "Ids of tasks.", optional=True, multiple=True
@@ -22,12 +22,13 @@
     options = [base.PLATFORM_OPTION, base.OUTPUT_OPTION, base.LABEL_OPTION]
 
     async def run_on(self, platform: platforms.HttpPlatform) -> int | None:
-        """Ask for the tasks to be cancelled."""
+        """Request the cancellation of the tasks."""
         as_json = self.wants_json()
         task_ids = await self.find_task_ids(platform)
         if not task_ids:
             raise errors.UsageError(
-                "name tasks, or give --label KEY=VALUE that some task has"
+                "no task is selected; give ids of tasks, or a --label "
+                "KEY=VALUE that matches tasks"
             )
         await jobs.cancel(platform, task_ids)
         if as_json:
--- a/wisteriawood/commands/config.py
+++ b/wisteriawood/commands/config.py
@@ -20,24 +20,24 @@
 
 @base.COMMANDS.register("config show")
 class ShowCommand(base.PlatformCommand):
-    """Shows the configuration in force, as a file that apply takes."""
+    """Shows the configuration in the format of config apply."""
 
     name = "config show"
-    description = "Shows the configuration, as a file that apply takes."
+    description = "Shows the configuration in the format of config apply."
     options = [
         base.PLATFORM_OPTION,
         helpers.option(
-            "at", None, "Version to show; the newest if left out.", flag=False
+            "at", None, "Version to show; by default the newest.", flag=False
         ),
     ]
 
     async def run_on(self, platform: platforms.HttpPlatform) -> int | None:
-        """Print the document with its version."""
+        """Print the configuration document with its version."""
         if self.option("at") is None:
             snapshot = await configurations.read_newest(platform)
         else:
             snapshot = await configurations.read_version(
-                platform, self.number("at", int)
+                platform, self.require_number("at", int)
             )
         document = {"version": snapshot.version} | snapshot.document
         self.line(configuration.to_text(document))
@@ -54,7 +54,7 @@
     options = [base.PLATFORM_OPTION, base.OUTPUT_OPTION]
 
     async def run_on(self, platform: platforms.HttpPlatform) -> int | None:
-        """Print the differences to the version in force."""
+        """Print the differences from the newest version."""
         as_json = self.wants_json()
         document = configuration.read_file(file=self.argument("file"))
         document.pop("version", None)
@@ -72,10 +72,10 @@
 
 @base.COMMANDS.register("config apply")
 class ApplyCommand(base.PlatformCommand):
-    """Applies a file if nobody else has changed the configuration."""
+    """Applies a file unless the configuration has changed since its base."""
 
     name = "config apply"
-    description = "Applies a configuration file; exit status 3 on a race."
+    description = "Applies a configuration file; exit status 3 on a conflict."
     arguments = [FILE_ARGUMENT]
     options = [
         base.PLATFORM_OPTION,
@@ -83,22 +83,27 @@
         helpers.option(
             "base",
             None,
-            "Version that the change was made on; that of the file if "
-            "left out.",
+            "Version that the change is based on; by default the one in the "
+            "file.",
+            flag=False,
+        ),
+        helpers.option("note", None, "Reason for the change.", flag=False),
+        helpers.option(
+            "author",
+            None,
+            "Author of the change; by default the user.",
             flag=False,
         ),
-        helpers.option("note", None, "Why, in a few words.", flag=False),
-        helpers.option("author", None, "Who applies it.", flag=False),
     ]
 
     async def run_on(self, platform: platforms.HttpPlatform) -> int | None:
         """Apply the file."""
         as_json = self.wants_json()
         document = configuration.read_file(file=self.argument("file"))
-        seen = document.pop("version", None)
+        base_version = document.pop("version", None)
         if self.option("base") is not None:
-            seen = self.number("base", int)
-        if seen is None:
+            base_version = self.require_number("base", int)
+        if base_version is None:
             raise errors.UsageError(
                 "give --base VERSION, or start from config show, which "
                 "writes the version into the file"
@@ -106,13 +111,15 @@
         version = await configurations.apply(
             platform,
             document,
-            base=seen,
+            base=base_version,
             author=self.option("author") or os.environ.get("USER", ""),
             note=self.option("note") or "",
         )
         if as_json:
-            self.print_json({"version": version, "changed": version != seen})
-        elif version == seen:
+            self.print_json(
+                {"version": version, "changed": version != base_version}
+            )
+        elif version == base_version:
             self.line(f"version {version} is the same; nothing to apply")
         else:
             self.line(
@@ -132,14 +139,18 @@
         base.PLATFORM_OPTION,
         base.OUTPUT_OPTION,
         helpers.option(
-            "limit", None, "Most changes to show.", flag=False, default="20"
+            "limit",
+            None,
+            "Maximum number of changes to show.",
+            flag=False,
+            default="20",
         ),
     ]
 
     async def run_on(self, platform: platforms.HttpPlatform) -> int | None:
-        """Print the newest changes, the newest first."""
+        """Print the latest changes, newest first."""
         as_json = self.wants_json()
-        limit = self.number("limit", int)
+        limit = self.require_number("limit", int)
         head, _row_version = await configurations.read_head(platform)
         changes = await configurations.read_changes(
             platform, after=max(0, head.version - limit), limit=limit
@@ -165,10 +176,10 @@
 
 @base.COMMANDS.register("config status")
 class StatusCommand(base.PlatformCommand):
-    """Shows which host runs which version of the configuration."""
+    """Shows which daemon uses which version of the configuration."""
 
     name = "config status"
-    description = "Shows which host runs which version."
+    description = "Shows which daemon uses which version."
     options = [base.PLATFORM_OPTION, base.OUTPUT_OPTION]
 
     async def run_on(self, platform: platforms.HttpPlatform) -> int | None:
@@ -182,7 +193,7 @@
         if as_json:
             self.print_json({"newest": head.version, "members": members})
             return 0
-        told = {
+        peer_versions = {
             name: version
             for member in members
             for name, version in member.followers.items()
@@ -190,18 +201,23 @@
         self.line(f"newest version: {head.version}")
         self.print_table(
             ["daemon", "zone", "version", "renewed (UTC)", "remark"],
-            [_to_line(member, told, head.version) for member in members],
+            [
+                _to_line(member, peer_versions, head.version)
+                for member in members
+            ],
         )
         return 0
 
 
 def _to_line(
-    member: holdings.MemberRow, told: dict[str, int], newest: int
+    member: holdings.MemberRow, peer_versions: dict[str, int], newest: int
 ) -> list[str]:
     name = f"{member.role}/{member.name}"
-    version = max(member.config_version, told.get(name, member.config_version))
+    version = max(
+        member.config_version, peer_versions.get(name, member.config_version)
+    )
     remark = "" if member.state == holdings.HostState.LIVE else member.state
-    if name in told:
+    if name in peer_versions:
         remark = "cut off, follows peers"
     elif version < newest:
         remark = remark or "behind"
--- a/wisteriawood/commands/demo.py
+++ b/wisteriawood/commands/demo.py
@@ -1,4 +1,4 @@
-"""Command that shows a small cluster on this machine."""
+"""Command that runs a small cluster on this machine as a demo."""
 
 import functools
 import pathlib
@@ -13,29 +13,29 @@
 
 @base.COMMANDS.register("demo")
 class DemoCommand(base.BaseCommand):
-    """Shows a small cluster under load and failures; ends by itself."""
+    """Runs a small cluster under load and failures, then exits."""
 
     name = "demo"
-    description = "Shows a small cluster under load and failures."
+    description = "Runs a small cluster under load and failures."
     options = [
         helpers.option(
             "team",
             "t",
-            "Team whose world is shown.",
+            "Team whose workload runs.",
             flag=False,
             default="vitrinenklima",
         ),
         helpers.option(
             "folder",
             "f",
-            "Folder that keeps settings, logs and traces.",
+            "Folder for settings, logs and traces.",
             flag=False,
             default="run",
         ),
     ]
 
     def execute_command(self) -> int | None:
-        """Run the demo; the status says whether all invariants held."""
+        """Run the demo; return 0 if all invariants held, else 1."""
         team = self.option("team")
         if team not in demos.TEAMS:
             raise errors.UsageError(
@@ -43,12 +43,12 @@
             )
         folder = pathlib.Path(self.require("folder")).absolute()
         folder.mkdir(parents=True, exist_ok=True)
-        for old in folder.iterdir():
-            if old.suffix in (".events", ".json", ".out", ".spans"):
-                old.unlink()
-        held = anyio.run(
+        for old_file in folder.iterdir():
+            if old_file.suffix in (".events", ".json", ".out", ".spans"):
+                old_file.unlink()
+        all_held = anyio.run(
             functools.partial(
                 demos.run, team=team, say=self.line, folder=folder
             )
         )
-        return 0 if held else 1
+        return 0 if all_held else 1
--- a/wisteriawood/commands/drain.py
+++ b/wisteriawood/commands/drain.py
@@ -1,4 +1,4 @@
-"""Command that drains a host."""
+"""Command that drains an entry host or a worker."""
 
 import os
 
@@ -13,24 +13,26 @@
 
 @base.COMMANDS.register("drain")
 class DrainCommand(base.PlatformCommand):
-    """Takes an entry host or a worker out of use, or back into use."""
+    """Drains an entry host or a worker, or ends its drain."""
 
     name = "drain"
-    description = "Takes an entry host or a worker out of use."
+    description = "Drains an entry host or a worker."
     arguments = [
-        helpers.argument("kind", "entry or worker."),
+        helpers.argument("kind", "Kind of the host: entry or worker."),
         helpers.argument("name", "Name of the host."),
     ]
     options = [
         base.PLATFORM_OPTION,
-        helpers.option("undo", None, "Take it back into use."),
+        helpers.option("undo", None, "End the drain of the host."),
     ]
 
     async def run_on(self, platform: platforms.HttpPlatform) -> int | None:
-        """Write the order, or take it back."""
+        """Write the request to drain, or delete it."""
         kinds = [kind.value for kind in drain_contracts.DrainKind]
         if self.argument("kind") not in kinds:
-            raise errors.UsageError(f"give one of {', '.join(kinds)}")
+            raise errors.UsageError(
+                f"the kind of the host must be one of {', '.join(kinds)}"
+            )
         kind = drain_contracts.DrainKind(self.argument("kind"))
         name = self.argument("name")
         if self.option("undo"):
--- a/wisteriawood/commands/explain.py
+++ b/wisteriawood/commands/explain.py
@@ -1,4 +1,4 @@
-"""Command that explains what became of a task or a request."""
+"""Command that explains the state of a task or the path of a request."""
 
 import dataclasses
 import functools
@@ -22,13 +22,13 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Explanation:
-    """All that is known of a task or a request.
+    """Information found about a task or a request.
 
     Attributes:
-        name: Id that was asked for.
-        task: The task's stored state, if it is one.
-        events: What the daemons logged of it.
-        spans: The hops of the request.
+        name: Id of the task or the request.
+        task: Stored state of the task; None if no such task is stored.
+        events: Events in the daemons' logs that name the id.
+        spans: Spans of the traces that name the id.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
 @base.COMMANDS.register("explain")
 class ExplainCommand(base.BaseCommand):
-    """Explains why a task waits, where it ran, or a request's hops."""
+    """Explains why a task waits and where it ran, or a request's hops."""
 
     name = "explain"
     description = "Explains a task (why it waits, where it ran) or a request."
@@ -51,23 +51,23 @@
     ]
 
     def execute_command(self) -> int | None:
-        """Print what the table, logs and traces tell."""
+        """Print what the platform, the logs and the traces contain."""
         as_json = self.wants_json()
         name = self.argument("id")
         if not self.option("platform") and not self.option("records"):
             raise errors.UsageError(
-                "give --platform URL, or --records with the files of traces "
-                "and events, or both"
+                "give --platform URL, or --records with files of traces and "
+                "events, or both"
             )
         found = Explanation(name=name, task=None, events=[], spans=[])
         if self.option("platform"):
             url = self.option("platform")
-            found.task = anyio.run(functools.partial(_find, url, name))
+            found.task = anyio.run(functools.partial(_read_task, url, name))
         self._add_records(found)
         if not (found.task or found.events or found.spans):
             raise errors.NotFoundError(
-                f"nothing is known of {name!r}; give --records with the "
-                "files of the daemon that answered"
+                f"found no task, event or trace with id {name!r}; give "
+                "--records with the files of the daemon that answered"
             )
         if as_json:
             self.print_json(found)
@@ -76,7 +76,7 @@
         return 0
 
     def _add_records(self, found: Explanation) -> None:
-        spans, logged = records.read(self.option("records") or [])
+        spans, events = records.read(self.option("records") or [])
         traces = {
             span.trace_id
             for span in spans
@@ -85,7 +85,7 @@
         found.spans = [span for span in spans if span.trace_id in traces]
         found.events = [
             event
-            for event in logged
+            for event in events
             if found.name in map(str, event.fields.values())
         ]
 
@@ -132,20 +132,22 @@
             self.line(f"  ended {times.to_text(task.ended_unix_s)} UTC")
 
     def _print_event(self, event: records.EventRecord) -> None:
-        known = catalogue.find(event.number)
-        meaning = known.meaning if known else "Unknown to this version."
+        event_type = catalogue.find(event.number)
+        meaning = (
+            event_type.meaning if event_type else "Unknown to this version."
+        )
         self.line(f"{times.to_text(event.at_unix_s)} {meaning}")
         for name in ("worker", "target", "reason"):
             if event.fields.get(name):
                 self.line(f"  {name}: {event.fields[name]}")
 
 
-async def _find(url: str, task_id: str) -> tasks.Task | None:
+async def _read_task(url: str, task_id: str) -> tasks.Task | None:
     platform = platforms.HttpPlatform(url=url)
     try:
         task = await jobs.find(platform, task_id)
         if task.state in tasks.WAITING_STATES:
-            task.reason = await _ask_why(platform, task) or task.reason
+            task.reason = await _ask_schedulers(platform, task) or task.reason
         return task
     except errors.NotFoundError:
         return None
@@ -153,8 +155,13 @@
         await platform.aclose()
 
 
-async def _ask_why(platform: platforms.Platform, task: tasks.Task) -> str:
-    """Return what the schedulers of the task's zone say; empty if nothing."""
+async def _ask_schedulers(
+    platform: platforms.Platform, task: tasks.Task
+) -> str:
+    """Return the reason for waiting from the schedulers of the task's zone.
+
+    The reason is empty if no scheduler gives one.
+    """
     prefix = keys.members(holdings.Role.SCHEDULER)
     for row in await platforms.scan_all(platform, prefix):
         member = rows.from_value(row.value, holdings.MemberRow)
--- a/wisteriawood/commands/questionnaire.py
+++ b/wisteriawood/commands/questionnaire.py
@@ -1,4 +1,4 @@
-"""Command that asks plain questions and writes the configuration."""
+"""Command that generates a configuration from answers to questions."""
 
 import functools
 import pathlib
@@ -19,21 +19,21 @@
 
 @base.COMMANDS.register("questionnaire")
 class QuestionnaireCommand(base.BaseCommand):
-    """Asks plain questions and generates the configuration."""
+    """Asks questions and generates a configuration from the answers."""
 
     name = "questionnaire"
-    description = "Asks plain questions and generates the configuration."
+    description = "Asks questions and generates a configuration."
     options = [
         helpers.option(
             "answers",
             None,
-            "File with all answers; nothing is asked.",
+            "File with all answers; no questions are asked.",
             flag=False,
         ),
         helpers.option(
             "file",
             "f",
-            "File that keeps the answers.",
+            "File in which the answers are stored.",
             flag=False,
             default="answers.json",
         ),
@@ -50,18 +50,18 @@
         helpers.option(
             "platform",
             "p",
-            "Platform whose configuration in force is built upon, as "
+            "Address of the platform whose configuration is extended, as "
             "http://HOST:PORT.",
             flag=False,
         ),
     ]
 
     def execute_command(self) -> int | None:
-        """Ask, or read the answers, and write the configuration."""
+        """Ask the questions or read the answers; write the configuration."""
         answers = self._answers()
         outcome = questionnaire.build(answers)
-        before = self._read_before()
-        document = questionnaire.merge(before, outcome)
+        current = self._read_current()
+        document = questionnaire.merge(current, outcome)
         configuration.check(document, file="configuration")
         file = self.option("config")
         settings.write_text(
@@ -81,62 +81,66 @@
             return questionnaire.read_file(file=file)
         if not self.io.is_interactive():
             raise errors.UsageError(
-                "this is no terminal to ask on; give --answers FILE"
+                "can't ask questions without a terminal; give --answers FILE"
             )
-        kept = self.option("file")
-        answers = self._ask_all(kept)
-        questionnaire.check(answers, file=kept)
+        answers_file = self.option("file")
+        answers = self._ask_all(answers_file)
+        questionnaire.check(answers, file=answers_file)
         questionnaire.build(answers)
-        questionnaire.write_file(answers, file=kept)
-        self.line(f"Your answers are kept in {kept}.")
+        questionnaire.write_file(answers, file=answers_file)
+        self.line(f"Your answers are kept in {answers_file}.")
         return answers
 
-    def _ask_all(self, kept: str) -> question_base.Answers:
-        before = {}
-        if pathlib.Path(kept).exists():
-            before = questionnaire.read_file(file=kept)
-        asked = questionnaire.questions()
+    def _ask_all(self, answers_file: str) -> question_base.Answers:
+        previous_answers = {}
+        if pathlib.Path(answers_file).exists():
+            previous_answers = questionnaire.read_file(file=answers_file)
+        questions = questionnaire.questions()
         only = self.option("change")
         if only:
             question_base.QUESTIONS.get(only)
-            if not before:
+            if not previous_answers:
                 raise errors.UsageError(
-                    f"{kept} has no answers yet; leave --change out"
+                    f"{answers_file} has no answers yet; omit --change"
                 )
-            asked = [question for question in asked if question.name == only]
-        answers = dict(before)
-        for question in asked:
-            answers[question.name] = self._ask(question, before)
+            questions = [
+                question for question in questions if question.name == only
+            ]
+        answers = dict(previous_answers)
+        for question in questions:
+            answers[question.name] = self._ask(question, previous_answers)
         return answers
 
     def _ask(
-        self, question: question_base.Question, before: question_base.Answers
+        self,
+        question: question_base.Question,
+        previous_answers: question_base.Answers,
     ) -> typing.Any:
         self.line(f"\n{question.text}")
         self.line(question.hint)
-        has_default = question.name in before
+        has_default = question.name in previous_answers
         if has_default:
-            self.line(f"(Enter keeps: {before[question.name]!r})")
+            self.line(f"(Enter keeps: {previous_answers[question.name]!r})")
         while True:
             text = self.ask(">", "")
             if has_default and not text:
-                return before[question.name]
+                return previous_answers[question.name]
             try:
                 return questionnaire.parse_answer(question, text or "")
             except errors.SettingsError as exc:
                 self.line_error(f"error: {exc}", "error")
 
-    def _read_before(self) -> configuration.Document:
+    def _read_current(self) -> configuration.Document:
         url = self.option("platform")
         if url:
-            return anyio.run(functools.partial(_read_in_force, url))
+            return anyio.run(functools.partial(_read_newest, url))
         file = self.option("config")
         if pathlib.Path(file).exists():
             return configuration.read_file(file=file)
         return {"version": 0, "teams": {}}
 
 
-async def _read_in_force(url: str) -> configuration.Document:
+async def _read_newest(url: str) -> configuration.Document:
     platform = platforms.HttpPlatform(url=url)
     try:
         snapshot = await configurations.read_newest(platform)
--- a/wisteriawood/commands/report.py
+++ b/wisteriawood/commands/report.py
@@ -1,4 +1,4 @@
-"""Command that writes a report of the three outcomes over time."""
+"""Command that reports latency, throughput and evictions over time."""
 
 from cleo import helpers
 
@@ -9,10 +9,10 @@
 
 @base.COMMANDS.register("report")
 class ReportCommand(base.BaseCommand):
-    """Writes a page of latency, throughput and evictions over time."""
+    """Writes an HTML page of latency, throughput and evictions over time."""
 
     name = "report"
-    description = "Writes a page of latency, throughput and evictions."
+    description = "Writes an HTML page of latency, throughput and evictions."
     options = [
         base.RECORDS_OPTION,
         base.OUTPUT_OPTION,
@@ -26,7 +26,7 @@
         helpers.option(
             "step-s",
             None,
-            "Seconds that one point of the curves covers.",
+            "Length of each interval of the report, in seconds.",
             flag=False,
             default="60",
         ),
@@ -36,9 +36,9 @@
         """Read the records and write the page."""
         as_json = self.wants_json()
         self.require("records")
-        step_s = max(1.0, self.number("step-s", float))
-        spans, logged = records.read(self.option("records"))
-        points = reports.summarize(spans, logged, step_s=step_s)
+        step_s = max(1.0, self.require_number("step-s", float))
+        spans, events = records.read(self.option("records"))
+        points = reports.summarize(spans, events, step_s=step_s)
         if as_json:
             self.print_json(points)
             return 0
--- a/wisteriawood/commands/standins.py
+++ b/wisteriawood/commands/standins.py
@@ -1,4 +1,4 @@
-"""Commands that run the stand-ins of the platform, workers and targets."""
+"""Commands that run stand-ins of the platform, workers and targets."""
 
 import functools
 
@@ -11,7 +11,7 @@
 from wisteriawood.standins import daemons
 
 _ADDRESS = helpers.option(
-    "address", "a", "Where it listens, as HOST:PORT.", flag=False
+    "address", "a", "Address to listen on, as HOST:PORT.", flag=False
 )
 _NAME = helpers.option("name", "m", "Name of the host.", flag=False)
 
@@ -25,7 +25,7 @@
     options = [_ADDRESS]
 
     def execute_command(self) -> int | None:
-        """Run it until SIGTERM."""
+        """Run the stand-in until SIGTERM."""
         anyio.run(
             functools.partial(
                 daemons.run_platform, address=self.require("address")
@@ -54,14 +54,14 @@
     ]
 
     def execute_command(self) -> int | None:
-        """Run it until SIGTERM."""
+        """Run the stand-in until SIGTERM."""
         anyio.run(
             functools.partial(
                 daemons.run_target,
                 name=self.require("name"),
                 address=self.require("address"),
-                slots=self.number("slots", int),
-                service_s=self.number("service-s", float),
+                slots=self.require_number("slots", int),
+                service_s=self.require_number("service-s", float),
             )
         )
         return 0
@@ -91,14 +91,14 @@
         helpers.option(
             "target-ports",
             None,
-            "Ports for the targets of its services, with commas.",
+            "Ports for the targets of its services, separated by commas.",
             flag=False,
             default="",
         ),
     ]
 
     def execute_command(self) -> int | None:
-        """Run it until SIGTERM."""
+        """Run the stand-in until SIGTERM."""
         anyio.run(
             functools.partial(
                 daemons.run_worker,
@@ -106,9 +106,9 @@
                 address=self.require("address"),
                 platform_url=self.require("platform"),
                 capacity=resources.Resources(
-                    cores=self.number("cores", float),
-                    memory_bytes=self.number("memory-bytes", int),
-                    accelerators=self.number("accelerators", int),
+                    cores=self.require_number("cores", float),
+                    memory_bytes=self.require_number("memory-bytes", int),
+                    accelerators=self.require_number("accelerators", int),
                 ),
                 target_ports=self._target_ports(),
             )
@@ -119,6 +119,6 @@
         parts = self.option("target-ports").split(",")
         if not all(part.isdigit() for part in parts if part):
             raise errors.UsageError(
-                "--target-ports takes port numbers with commas between them"
+                "--target-ports takes port numbers separated by commas"
             )
         return [int(part) for part in parts if part]
--- a/wisteriawood/commands/status.py
+++ b/wisteriawood/commands/status.py
@@ -1,4 +1,4 @@
-"""Command that shows tasks, or the whole."""
+"""Command that shows the state of tasks or an overview."""
 
 from cleo import helpers
 
@@ -11,10 +11,10 @@
 
 @base.COMMANDS.register("status")
 class StatusCommand(base.PlatformCommand):
-    """Shows the state of tasks; without any, of the whole."""
+    """Shows the state of tasks; without ids, an overview of all zones."""
 
     name = "status"
-    description = "Shows the state of tasks; without any, of the whole."
+    description = "Shows the state of tasks, or an overview of all zones."
     arguments = [
         helpers.argument(
             "tasks", "Ids of tasks.", optional=True, multiple=True
--- a/wisteriawood/tests/callers_tests.py
+++ b/wisteriawood/tests/callers_tests.py
@@ -1,4 +1,4 @@
-"""The front end for callers: bad input, and answers passed on as they are."""
+"""Tests of the HTTP front end: invalid requests and forwarded answers."""
 
 import unittest
 
@@ -63,7 +63,7 @@
         body = b"x" * (callers.MAX_BODY_BYTES + 1)
         self.check_refused(_call(content=body), 413)
 
-    def test_body_at_the_limit_is_taken(self):
+    def test_body_at_the_limit_is_accepted(self):
         body = b"x" * callers.MAX_BODY_BYTES
         self.assertEqual(200, _call(content=body).status_code)
 
@@ -75,21 +75,21 @@
     def test_unknown_method_is_refused(self):
         self.check_refused(_call("BREW"), 405)
 
-    def test_path_and_query_go_on_as_they_came(self):
+    def test_path_and_query_are_forwarded_unchanged(self):
         response = _call("GET", PATH + "/a%2Fb%3Fc//d?e=%20f")
         self.assertEqual("GET /check/a%2Fb%3Fc//d?e=%20f", response.text)
 
-    def test_service_without_path_is_its_root(self):
+    def test_service_without_path_gets_the_root_path(self):
         response = _call("GET", "/vitrinenklima/humidity")
         self.assertEqual("GET /", response.text)
 
-    def test_repeated_header_fields_of_the_answer_are_kept(self):
+    def test_repeated_header_fields_of_the_answer_are_forwarded(self):
         response = _call()
         self.assertEqual(
             ["a=1", "b=2"], response.headers.get_list("set-cookie")
         )
 
-    def test_unknown_outcome_is_said(self):
+    def test_unknown_outcome_is_reported(self):
         async def _lose(request):
             raise errors.RequestUnknownError(reason="the answer was lost")
 
@@ -97,7 +97,7 @@
         self.assertEqual(504, response.status_code)
         self.assertEqual("unknown", response.headers["x-outcome"])
 
-    def test_overload_names_a_time_to_retry(self):
+    def test_overload_has_a_retry_after_header(self):
         async def _shed(request):
             raise errors.RequestNotRunError(reason="full", retry_after_s=3)
 
@@ -121,24 +121,24 @@
 
         return anyio.run(_main)
 
-    def test_answer_to_another_request_is_not_passed_on(self):
+    def test_answer_to_another_request_is_not_forwarded(self):
         target = target_standins.StandinTarget(name="t", slots=8)
         target.faults.wrong_id = True
         with self.assertRaises(errors.RequestUnknownError):
             self.send(target, body=b"mine")
 
-    def test_answer_over_the_limit_is_never_passed_on_cut(self):
+    def test_answer_over_the_limit_is_not_forwarded_truncated(self):
         target = target_standins.StandinTarget(name="t", slots=8)
         body = b"x" * (targets.MAX_ANSWER_BYTES + 1)
         with self.assertRaises(errors.RequestUnknownError):
             self.send(target, body=body)
 
-    def test_answer_at_the_limit_is_whole(self):
+    def test_answer_at_the_limit_is_forwarded_whole(self):
         target = target_standins.StandinTarget(name="t", slots=8)
         body = b"x" * targets.MAX_ANSWER_BYTES
         self.assertEqual(body, self.send(target, body=body).body)
 
-    def test_path_of_two_slashes_stays_on_the_target(self):
+    def test_path_with_two_leading_slashes_goes_to_the_target(self):
         target = target_standins.StandinTarget(name="t", slots=8)
         answer = self.send(target, path="//elsewhere/x", body=b"mine")
         self.assertEqual(b"mine", answer.body)
--- a/wisteriawood/tests/docs_tests.py
+++ b/wisteriawood/tests/docs_tests.py
@@ -1,4 +1,4 @@
-"""The commands and files that the docs show."""
+"""Tests of the commands and files shown in the documentation."""
 
 import json
 import os
@@ -43,7 +43,7 @@
 
 class DocsTests(unittest.TestCase):
 
-    def test_each_command_shown_is_one_with_these_options(self):
+    def test_shown_commands_and_options_exist(self):
         lines = command_lines()
         self.assertGreater(len(lines), 20)
         for page, line in lines:
@@ -56,7 +56,7 @@
                 given.bind(command.definition)
                 given.validate()
 
-    def test_each_command_is_shown(self):
+    def test_every_command_is_shown(self):
         app = __main__.make_application()
         shown = {
             find_command(app, line)[0].name for _page, line in command_lines()
@@ -71,7 +71,7 @@
         }
         self.assertEqual(set(), ours - shown)
 
-    def test_questionnaires_from_files_run_as_shown(self):
+    def test_shown_questionnaire_commands_succeed(self):
         ran = 0
         with tempfile.TemporaryDirectory() as folder:
             self.addCleanup(os.chdir, os.getcwd())
@@ -88,7 +88,7 @@
                 ran += 1
         self.assertGreater(ran, 1)
 
-    def test_files_shown_pass_their_checks(self):
+    def test_shown_files_are_valid(self):
         checked = 0
         for page in PAGES:
             for text in JSON_BLOCK.findall(page.read_text(encoding="utf-8")):
--- a/wisteriawood/tests/platform_tests.py
+++ b/wisteriawood/tests/platform_tests.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter to the users' platform, over its wire in memory."""
+"""Tests of the adapter to the users' platform, with an in-memory platform."""
 
 import json
 import unittest
@@ -33,7 +33,7 @@
 }
 
 
-def _store_pair():
+def _make_store_and_client():
     wire = standins.WireStore(store=store_standins.MemoryStore())
     client = store_client.TableStore(
         address="store:80", transport=httpx.ASGITransport(wire)
@@ -44,7 +44,7 @@
 class StoreTests(unittest.TestCase):
     def test_commit_read_and_feed(self):
         async def _check():
-            _wire, client = _store_pair()
+            _wire, client = _make_store_and_client()
             change = stores.Change(expected={AT: 0}, writes={AT: b"\x00v"})
             version = await client.commit(change)
             page = await client.read("t", "p", key="k")
@@ -60,9 +60,9 @@
 
         builders.run_virtual(_check)
 
-    def test_a_conflict_tells_the_rows(self):
+    def test_conflict_returns_the_current_rows(self):
         async def _check():
-            _wire, client = _store_pair()
+            _wire, client = _make_store_and_client()
             await client.commit(stores.Change(writes={AT: b"1"}))
             with self.assertRaises(stores.ChangeConflictError) as caught:
                 await client.commit(
@@ -72,9 +72,9 @@
 
         builders.run_virtual(_check)
 
-    def test_refusals_say_that_nothing_was_done(self):
+    def test_error_tells_whether_a_change_may_be_committed(self):
         async def _check():
-            wire, client = _store_pair()
+            wire, client = _make_store_and_client()
             for status in (429, 503):
                 wire.status = status
                 with self.assertRaises(errors.PlatformUnavailableError):
@@ -85,9 +85,9 @@
 
         builders.run_virtual(_check)
 
-    def test_lost_history_is_told(self):
+    def test_lost_history_raises_an_error(self):
         async def _check():
-            wire, client = _store_pair()
+            wire, client = _make_store_and_client()
             await client.commit(stores.Change(writes={AT: b"1"}))
             wire._store.forget_history()
             with self.assertRaises(stores.HistoryLostError):
@@ -95,9 +95,9 @@
 
         builders.run_virtual(_check)
 
-    def test_many_rows_come_in_pages(self):
+    def test_read_returns_the_rows_of_all_pages(self):
         async def _check():
-            wire, client = _store_pair()
+            wire, client = _make_store_and_client()
             for number in range(store_client.PAGE_ROWS * 2 + 3):
                 key = stores.RowKey(table="t", part="p", key=f"{number:05}")
                 wire._store.apply(stores.Change(writes={key: b"1"}))
@@ -108,7 +108,7 @@
 
 
 class WorkerTests(unittest.TestCase):
-    def _pair(self, expected="w"):
+    def _make_worker_and_client(self, expected="w"):
         found = runners.Registration(
             worker_id=expected, service="s", address="w:80", zone="a"
         )
@@ -121,7 +121,7 @@
         )
         return worker, client
 
-    def _order(self, **fields):
+    def _start_order(self, **fields):
         defaults = {
             "task_name": "j.0.0.0",
             "run": 1,
@@ -140,10 +140,10 @@
         }
         return await client.renew(**(defaults | fields))
 
-    def test_orders_and_reports(self):
+    def test_commands_and_reports(self):
         async def _check():
-            worker, client = self._pair()
-            started = await client.start(self._order())
+            worker, client = self._make_worker_and_client()
+            started = await client.start(self._start_order())
             self.assertIs(started, runners.StartAnswer.STARTED)
             await client.pace("j.0.0.0", 1, 40, 7)
             report = await self._renew(client)
@@ -157,15 +157,15 @@
 
         builders.run_virtual(_check)
 
-    def test_refusals(self):
+    def test_reasons_of_refusals(self):
         async def _check():
-            _worker, client = self._pair()
-            answer = await client.start(self._order(lease_until_ms=0))
+            _worker, client = self._make_worker_and_client()
+            answer = await client.start(self._start_order(lease_until_ms=0))
             self.assertIs(answer, runners.StartAnswer.TOO_LATE)
             await client.stop("j.0.0.0", 1, 7)
-            answer = await client.start(self._order())
+            answer = await client.start(self._start_order())
             self.assertIs(answer, runners.StartAnswer.OLD_RUN)
-            answer = await client.start(self._order(token=1))
+            answer = await client.start(self._start_order(token=1))
             self.assertIs(answer, runners.StartAnswer.FENCED)
             with self.assertRaises(runners.FencedError):
                 await self._renew(client, token=1)
@@ -174,9 +174,9 @@
 
         builders.run_virtual(_check)
 
-    def test_another_life_is_told(self):
+    def test_answer_of_another_instance_raises_an_error(self):
         async def _check():
-            _worker, client = self._pair(expected="former")
+            _worker, client = self._make_worker_and_client(expected="former")
             with self.assertRaises(runners.OtherLifeError):
                 await self._renew(client)
 
@@ -184,7 +184,7 @@
 
 
 class DirectoryTests(unittest.TestCase):
-    def test_a_worker(self):
+    def test_valid_worker(self):
         found = directory.decode_worker(
             "w", json.dumps(WORKER).encode(), {"s"}
         )
@@ -192,7 +192,7 @@
         self.assertEqual(found.cpu_millicores, 4000)
         self.assertFalse(found.is_draining)
 
-    def test_entries_that_name_no_worker(self):
+    def test_invalid_entries_of_workers(self):
         for fields in (
             {"state": "strange"},
             {"service": "other"},
@@ -206,7 +206,7 @@
             with self.assertRaises(errors.MessageError):
                 directory.decode_worker("w", data, set())
 
-    def test_a_configuration(self):
+    def test_valid_configuration(self):
         table, max_bytes = directory.decode_configuration(
             json.dumps(
                 {
@@ -235,7 +235,7 @@
 
 
 class BodyTests(unittest.TestCase):
-    def test_a_job(self):
+    def test_valid_job(self):
         body = {
             "task_spec": "text",
             "steps": [
@@ -248,7 +248,7 @@
         self.assertTrue(spec.steps[1].is_standing)
         self.assertEqual(spec.steps[1].after, [0])
 
-    def test_bodies_that_are_no_job(self):
+    def test_invalid_jobs(self):
         for body in (
             b"",
             b"{}",
@@ -264,7 +264,7 @@
 class FrontTests(unittest.TestCase):
     JOB = "/p/0123456789abcdef"
 
-    async def _client(self, world):
+    async def _make_client(self, world):
         name = min(world.hosts)
         host = world.hosts[name]
         table = queues.QueueTable(
@@ -281,9 +281,9 @@
             transport=httpx.ASGITransport(front), base_url="http://h"
         )
 
-    def test_the_life_of_a_job(self):
+    def test_submission_state_and_cancellation_of_a_job(self):
         async def _check(world):
-            client = await self._client(world)
+            client = await self._make_client(world)
             await builders.pause(3)
             body = {"steps": [{"count": 1, "cpu": 100}]}
             answer = await client.get(self.JOB)
@@ -308,9 +308,9 @@
 
         builders.run_job_world(_check)
 
-    def test_a_refusal_says_when_to_come_back(self):
+    def test_refusal_has_a_retry_after_header(self):
         async def _check(world):
-            client = await self._client(world)
+            client = await self._make_client(world)
             await builders.pause(3)
             world.store.is_down = True
             await builders.pause(4)
