--- a/wisteriawood/commands/base.py
+++ b/wisteriawood/commands/base.py
@@ -156,7 +156,7 @@
     async def find_task_ids(
         self, platform: platforms.HttpPlatform
     ) -> list[str]:
-        """Return the ids of the tasks in the arguments and with the labels.
+        """Return the ids in the arguments and of the tasks with all labels.
 
         Args:
             platform: Link to the platform.
--- a/wisteriawood/commands/config.py
+++ b/wisteriawood/commands/config.py
@@ -72,7 +72,7 @@
 
 @base.COMMANDS.register("config apply")
 class ApplyCommand(base.PlatformCommand):
-    """Applies a file unless the configuration has changed since its base."""
+    """Applies a file if it is based on the newest version."""
 
     name = "config apply"
     description = "Applies a configuration file; exit status 3 on a conflict."
--- a/wisteriawood/commands/questionnaire.py
+++ b/wisteriawood/commands/questionnaire.py
@@ -59,16 +59,16 @@
     def execute_command(self) -> int | None:
         """Ask the questions or read the answers; write the configuration."""
         answers = self._answers()
-        outcome = questionnaire.build(answers)
+        generated = questionnaire.build(answers)
         current = self._read_current()
-        document = questionnaire.merge(current, outcome)
+        document = questionnaire.merge(current, generated)
         configuration.check(document, file="configuration")
         file = self.option("config")
         settings.write_text(
             file=file, text=configuration.to_text(document) + "\n"
         )
-        self.line(f"What your answers lead to for {outcome.team}:")
-        for explanation in outcome.explanations:
+        self.line(f"What your answers lead to for {generated.team}:")
+        for explanation in generated.explanations:
             self.line(f"- {explanation}")
         self.line(f"Written to {file}. To put it in force:")
         url = self.option("platform") or "URL"
--- a/wisteriawood/config/configuration.py
+++ b/wisteriawood/config/configuration.py
@@ -144,7 +144,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Weights:
-    """Importance of each outcome to a team, from 0 to 10.
+    """Importance of each goal to a team, from 0 to 10.
 
     Attributes:
         tail_latency: Importance of low tail latency of its services.
@@ -184,7 +184,7 @@
     Attributes:
         services: Its services by name.
         batch_classes: Configuration of its batch jobs by task class.
-        weights: Importance of each outcome to it.
+        weights: Importance of each goal to it.
         quota: Limits of its resources.
     """
 
--- a/wisteriawood/config/questionnaire.py
+++ b/wisteriawood/config/questionnaire.py
@@ -15,8 +15,8 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Outcome:
-    """Configuration that results from the answers of a team.
+class GeneratedConfiguration:
+    """Configuration of a team, generated from its answers.
 
     Attributes:
         team: Name of the team.
@@ -103,8 +103,8 @@
     return value
 
 
-def build(answers: base.Answers) -> Outcome:
-    """Return the configuration that results from checked answers.
+def build(answers: base.Answers) -> GeneratedConfiguration:
+    """Generate the configuration of a team from checked answers.
 
     Args:
         answers: The answers by name of the question.
@@ -120,18 +120,20 @@
         explanations.extend(effect.explanations)
     team = answers["team"]
     configuration.check({"teams": {team: document}}, file="answers")
-    return Outcome(team=team, document=document, explanations=explanations)
+    return GeneratedConfiguration(
+        team=team, document=document, explanations=explanations
+    )
 
 
 def merge(
-    document: configuration.Document, outcome: Outcome
+    document: configuration.Document, generated: GeneratedConfiguration
 ) -> configuration.Document:
     """Return a configuration with the team's part replaced.
 
     Args:
         document: The configuration to change; not modified.
-        outcome: Result of the team's answers.
+        generated: The team's new part.
     """
     teams = dict(document.get("teams", {}))
-    teams[outcome.team] = outcome.document
+    teams[generated.team] = generated.document
     return document | {"teams": teams}
--- a/wisteriawood/config/questions/jobs.py
+++ b/wisteriawood/config/questions/jobs.py
@@ -82,8 +82,8 @@
     """Set the priorities of batch jobs."""
     base.check_known(answers, "first_jobs", among="batch_jobs")
     effect = base.Effect(patch={"batch_classes": {}})
-    for place, name in enumerate(answers["first_jobs"]):
-        priority = max(1, base.MAX_PRIORITY - place)
+    for position, name in enumerate(answers["first_jobs"]):
+        priority = max(1, base.MAX_PRIORITY - position)
         effect.patch["batch_classes"][name] = {"priority": priority}
         effect.explanations.append(
             f"A {name} job has priority {priority} among the jobs of your "
--- a/wisteriawood/config/questions/outcomes.py
+++ b/wisteriawood/config/questions/outcomes.py
@@ -1,8 +1,8 @@
-"""Questions about outcome weights and quotas."""
+"""Questions about the weights of goals and about quotas."""
 
 from wisteriawood.config.questions import base
 
-_OUTCOMES = {
+_GOALS = {
     "tail_latency": "callers get fast answers",
     "batch_throughput": "batch jobs finish early",
     "evictions": "running tasks are not interrupted",
@@ -20,7 +20,7 @@
     "Separate them by commas.",
     schema={
         "type": "array",
-        "items": {"enum": list(_OUTCOMES)},
+        "items": {"enum": list(_GOALS)},
         "uniqueItems": True,
         "minItems": 3,
         "maxItems": 3,
@@ -28,13 +28,13 @@
     read=base.read_names,
 )
 def matters_most(answers: base.Answers) -> base.Effect:
-    """Set the weights of the three outcomes."""
+    """Set the weights of the three goals."""
     effect = base.Effect(patch={"weights": {}})
-    for place, name in enumerate(answers["matters_most"]):
-        weight = _MAX_WEIGHT - _WEIGHT_STEP * place
+    for position, name in enumerate(answers["matters_most"]):
+        weight = _MAX_WEIGHT - _WEIGHT_STEP * position
         effect.patch["weights"][name] = weight
         effect.explanations.append(
-            f"The goal that {_OUTCOMES[name]} has weight {weight} of "
+            f"The goal that {_GOALS[name]} has weight {weight} of "
             f"{_MAX_WEIGHT}."
         )
     return effect
--- a/wisteriawood/platform/__init__.py
+++ b/wisteriawood/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter that translates between the users' platform and the product."""
+"""Adapter that translates between the users' platform and wisteriawood."""
--- a/wisteriawood/platform/__main__.py
+++ b/wisteriawood/platform/__main__.py
@@ -22,9 +22,10 @@
 from wisteriawood.telemetry import lines
 
 _LOG = events.Logger(name=__name__)
-# Longest lease requested. A longer one would let runs survive a slower change
-# of holder, but that gains less than it costs: the runs of a lost worker are
-# known to have ended only when its lease has expired.
+# Longest lease of a worker, which the holder of its cell renews. With a longer
+# one, runs would survive a slower change of holder. That gains less than it
+# costs: the runs of a lost worker are known to have ended only once its lease
+# has expired.
 MAX_LEASE_S = 6.0
 # Pause between polls of the worker directory. Each worker writes its entry
 # about once a second, and a draining worker must be detected within 2 s.
--- a/wisteriawood/platform/bodies.py
+++ b/wisteriawood/platform/bodies.py
@@ -20,6 +20,7 @@
     mem_mb: int = 0
     gpus: int = 0
     est_runtime_ms: float = 0
+    # Positions of earlier steps in the list, from 0.
     after: list[int] = dataclasses.field(default_factory=list)
     checkpointing: bool = False
     gang: bool = False
@@ -35,7 +36,7 @@
     image: str = ""
     target_ms: float = 0
     fills: bool = False
-    # Most tasks that the product may interrupt at the same time.
+    # Most tasks that the scheduler may interrupt at the same time.
     may_miss: int = 0
 
 
@@ -62,7 +63,7 @@
     try:
         job = msgspec.json.decode(data, type=_Job)
     except msgspec.DecodeError as exc:
-        raise errors.UsageError(f"the body is not a valid job: {exc}") from exc
+        raise errors.UsageError(f"the body is no job: {exc}") from exc
     _check(job)
     return specs.JobSpec(
         id=job_id,
@@ -77,16 +78,12 @@
 
 def _check(job: _Job) -> None:
     if not 0 < len(job.steps) <= MAX_STEPS:
-        raise errors.UsageError(f"a job takes 1 to {MAX_STEPS} steps")
+        raise errors.UsageError(f"give 1 to {MAX_STEPS} steps")
     for number, step in enumerate(job.steps):
         if not 0 < step.count <= MAX_TASKS:
-            raise errors.UsageError(
-                f"step {number}: count takes 1 to {MAX_TASKS} tasks"
-            )
+            raise errors.UsageError(f"give 1 to {MAX_TASKS} tasks a step")
         if any(not 0 <= earlier < number for earlier in step.after):
-            raise errors.UsageError(
-                f"step {number}: after takes only numbers of earlier steps"
-            )
+            raise errors.UsageError("a step may only follow earlier steps")
 
 
 def _decode_step(step: _Step) -> specs.StepSpec:
--- a/wisteriawood/platform/fronts.py
+++ b/wisteriawood/platform/fronts.py
@@ -107,9 +107,7 @@
             return 200, {"pending": self._intake.pending(queue)}, 0
         if not _JOB_ID.fullmatch(job_id):
             if method == "POST":
-                raise errors.UsageError(
-                    "a job id has 16 lowercase hexadecimal digits"
-                )
+                raise errors.UsageError("a job's id has 16 hexadecimal digits")
             return 410, {}, 0
         timeout_s = _timeout_s(headers, queue)
         if method == "POST":
@@ -134,14 +132,12 @@
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
-                raise errors.UsageError(
-                    "the caller disconnected before the end of the body"
-                )
+                raise errors.UsageError("the body ended early")
             chunk = message.get("body", b"")
             size_bytes += len(chunk)
             if size_bytes > self.max_body_bytes:
                 raise errors.RequestNotRunError(
-                    reason=f"the body exceeds {self.max_body_bytes} bytes",
+                    reason=f"the body is over {self.max_body_bytes} bytes",
                     status=413,
                     retry_after_s=0,
                 )
--- a/wisteriawood/platform/settings.py
+++ b/wisteriawood/platform/settings.py
@@ -30,7 +30,7 @@
 
     Attributes:
         address: Address of the store, as host:port.
-        tx_ms: Time that a transaction takes.
+        tx_ms: Time that a transaction takes, in milliseconds; not used.
     """
 
     address: str
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class CloudAccess:
-    """Access to the service that moves machines.
+    """Access to the service that moves machines; not used.
 
     Attributes:
         address: Address of the service.
@@ -69,7 +69,7 @@
     """Time limits of the deployment.
 
     Attributes:
-        hold_max_ms: Longest lease of a worker.
+        hold_max_ms: Longest lease of a worker, in milliseconds.
         status_s: Time for which the state of an ended job can be queried.
         grace_s: Time between the signal to stop and the kill.
     """
@@ -90,8 +90,8 @@
         listen_addrs: Addresses to listen on.
         platform: Access to the store.
         cloud_api: Access to the service that moves machines; None for none.
-        advice: Address of the advice service; None for none.
-        contracts: Parts of the rules that are in force.
+        advice: Address of the advice service; None for none. Not used.
+        contracts: Parts of the platform's rules that are in force; not used.
         bounds: Time limits of the deployment.
         limits: Resources that the process may use.
     """
--- a/wisteriawood/platform/standins.py
+++ b/wisteriawood/platform/standins.py
@@ -1,9 +1,9 @@
 """In-memory platform for tests of the adapter and the soak tests.
 
-ASGI applications answer the calls of the platform's store and of one worker
-in the platform's own format; the product's stand-ins hold the data. Functions
-write the rows, files and bodies that the operator, the workers and callers
-write on the real platform.
+ASGI applications serve the HTTP APIs of the platform's store and of a worker;
+the in-memory objects of wisteriawood.standins hold the data. Functions make
+the rows, files and bodies that the operator, the workers and callers write on
+the real platform.
 """
 
 import base64
@@ -34,8 +34,8 @@
 }
 
 
-class WireError(errors.WisteriawoodError):
-    """A call is answered with a status other than 200.
+class StatusError(errors.WisteriawoodError):
+    """The call is answered with an HTTP status other than 200.
 
     Args:
         status: HTTP status of the answer.
@@ -83,13 +83,12 @@
 
 
 class WireStore:
-    """ASGI application with the calls of the store, for one host.
+    """ASGI application that serves the store's HTTP API to one host.
 
     Args:
         store: Holds the rows.
         addresses: Addresses at which the host reaches the workers, by
-            worker id; a worker that is not in it keeps the address in its
-            entry.
+            worker id; other workers keep the address in their entry.
 
     Attributes:
         status: Status with which every call is refused; 0 to answer calls
@@ -129,7 +128,7 @@
             await anyio.sleep(self.late_s)
         try:
             answer = await self._answer(scope["path"], query, body)
-        except WireError as exc:
+        except StatusError as exc:
             await _send(send, exc.status, exc.body)
             return
         if is_dropped:
@@ -165,7 +164,7 @@
             }
             return {"parts": sorted(parts), "ver": self._store.version}
         if path != "/v1/rows-get":
-            raise WireError(status=404)
+            raise StatusError(status=404)
         rows = [
             self._encode_for_host(row)
             for at, row in sorted(
@@ -200,13 +199,13 @@
             return {"ver": self._store.apply(change)}
         except stores.ChangeConflictError as exc:
             rows = [_encode_row(row) for row in exc.rows]
-            raise WireError(status=412, body={"rows": rows}) from exc
+            raise StatusError(status=412, body={"rows": rows}) from exc
 
     async def _feed(self, query: dict) -> dict:
         try:
             rows = self._store.changes(query["table"], int(query["after"]))
         except stores.HistoryLostError as exc:
-            raise WireError(status=410) from exc
+            raise StatusError(status=410) from exc
         if not rows:
             with anyio.move_on_after(int(query["wait_ms"]) / 1000):
                 await self._store.wait()
@@ -218,11 +217,11 @@
 
 
 class WireWorker:
-    """ASGI application with the calls of a worker.
+    """ASGI application that serves a worker's HTTP API.
 
     Args:
         worker: Runs the tasks.
-        worker_id: Id that callers must send in x-expect-instance.
+        worker_id: Id that hosts must send in x-expect-instance.
     """
 
     __slots__ = ("_worker", "_worker_id")
@@ -250,7 +249,7 @@
         except runners.FencedError:
             await _send(send, 409, {"reason": "fence"})
             return
-        except WireError as exc:
+        except StatusError as exc:
             await _send(send, exc.status, exc.body)
             return
         clock = {"clock_ms": self._worker.clock_ms()}
@@ -281,7 +280,7 @@
                 run.percent = body["percent"]
             return {}
         if path != "/v1/hold":
-            raise WireError(status=404)
+            raise StatusError(status=404)
         worker.renew(body.get("deadline_ms", 0))
         report = worker.report(body["last_seen"])
         return {
@@ -307,7 +306,7 @@
         )
         answer = self._worker.begin_run(order)
         if answer in _REFUSAL_REASONS:
-            raise WireError(
+            raise StatusError(
                 status=409, body={"reason": _REFUSAL_REASONS[answer]}
             )
         return {}
--- a/wisteriawood/platform/store_client.py
+++ b/wisteriawood/platform/store_client.py
@@ -130,7 +130,7 @@
                 ),
             )
         except httpx.TimeoutException:
-            # Allow the next call twice the time.
+            # Double the timeout of the next call.
             self._average_s = min(
                 2 * self._average_s, MAX_TIMEOUT_S / TIMEOUT_FACTOR
             )
@@ -152,7 +152,7 @@
             ) from exc
         except httpx.HTTPError as exc:
             raise errors.TransactionUnknownError(
-                f"the store did not answer a transaction: {exc!r}"
+                f"the store did not answer a change: {exc!r}"
             ) from exc
         if response.status_code == 412:
             answer = self._decode(response)
@@ -161,12 +161,11 @@
             )
         if response.status_code in (429, 503):
             raise errors.PlatformUnavailableError(
-                f"the store refused a transaction: {response.status_code}"
+                f"the store refused a change with {response.status_code}"
             )
         if response.status_code != 200:
             raise errors.TransactionUnknownError(
-                "the store answered a transaction with "
-                f"{response.status_code}: "
+                f"the store answered a change with {response.status_code}: "
                 f"{response.text[:200]}"
             )
         return self._decode(response).ver
@@ -176,7 +175,7 @@
             return msgspec.json.decode(response.content, type=_Answer)
         except msgspec.DecodeError as exc:
             raise errors.TransactionUnknownError(
-                f"the store's answer can't be decoded: {exc}"
+                f"the store's answer can't be read: {exc}"
             ) from exc
 
     async def _get(
--- a/wisteriawood/platform/worker_client.py
+++ b/wisteriawood/platform/worker_client.py
@@ -162,7 +162,7 @@
         lease_until_ms: int,
         wait_ms: int,
     ) -> runners.RunReport:
-        """Renew the lease, acknowledge ended runs and return the runs."""
+        """Renew the lease, acknowledge ended runs and return a report."""
         body = {"fencing_token": token, "last_seen": acknowledged}
         if lease_until_ms:
             body["deadline_ms"] = lease_until_ms
--- a/wisteriawood/telemetry/events.py
+++ b/wisteriawood/telemetry/events.py
@@ -100,8 +100,8 @@
 TERM_LOST = define(
     1103,
     "term-lost",
-    "The member row was not renewed in time, or another process of the host "
-    "has replaced it; a scheduler places and moves no tasks.",
+    "The member row was not renewed in time, or a newer process of the host "
+    "has overwritten it; a scheduler places and moves no tasks.",
     "Check the platform and the host's clock and load.",
 )
 TERM_HELD = define(
@@ -153,7 +153,8 @@
 TARGET_TAKEN_OUT = define(
     1710,
     "target-taken-out",
-    "A target failed repeatedly or does not answer; it gets only probes.",
+    "A target failed repeatedly or does not answer; it is ejected and gets "
+    "only probes.",
     "Check the target; it gets requests again once it answers a probe.",
 )
 TARGET_BROUGHT_IN = define(
--- a/wisteriawood/telemetry/job_events.py
+++ b/wisteriawood/telemetry/job_events.py
@@ -1,4 +1,4 @@
-"""Numbered events of jobs and cells, and of the feeds that they read."""
+"""Numbered events of job hosts: jobs, cells, workers and feeds."""
 
 from wisteriawood.telemetry import events
 
--- a/wisteriawood/tests/docs_tests.py
+++ b/wisteriawood/tests/docs_tests.py
@@ -62,14 +62,14 @@
             find_command(app, line)[0].name for _page, line in command_lines()
         }
         names = {command.name for command in app.all().values()}
-        ours = names - {
+        to_show = names - {
             "completions",
             "demo",
             "help",
             "list",
             "standin target",
         }
-        self.assertEqual(set(), ours - shown)
+        self.assertEqual(set(), to_show - shown)
 
     def test_shown_questionnaire_commands_succeed(self):
         ran = 0
--- a/wisteriawood/tests/faults/config_tests.py
+++ b/wisteriawood/tests/faults/config_tests.py
@@ -59,7 +59,7 @@
         await anyio.sleep(4.3)
 
     async def restart(self, name):
-        """Kill a process and start one without its state in its place."""
+        """Kill a process; start another one without its state."""
         self.processes[name].kill()
         member = self.entries[name].membership.own
         self.entries[name] = builders.add_entries(
@@ -116,6 +116,11 @@
         self.record_step("acknowledged")
 
     async def inject(self, step, fault):
+        """Inject a fault once a step is reached.
+
+        The step "passed on" is half a link delay after a host has polled
+        the change: it is then on its way to the cut-off host.
+        """
         await self.step_events[
             "polled" if step == "passed on" else step
         ].wait()
@@ -254,13 +259,13 @@
 
 
 @FAULTS.register("another operator")
-async def race(scenario):
+async def apply_another_change(scenario):
     newest = await configurations.read_newest(scenario.platform)
     await scenario.change(900, base=newest.version)
 
 
 @FAULTS.register("old messages replayed")
-async def replay(scenario):
+async def replay_old_messages(scenario):
     snapshot = await configurations.read_version(scenario.platform, 1)
     offer = messages.ConfigOffer(snapshot=snapshot)
     changes = messages.ConfigChanges(
@@ -309,8 +314,8 @@
 class ProofTests(unittest.TestCase):
     """Shows that a case fails without a mechanism and passes with it."""
 
-    def check_mechanism(self, step, fault, violation, **off):
-        with mock.patch.object(**off):
+    def check_mechanism(self, step, fault, violation, **disabling_patch):
+        with mock.patch.object(**disabling_patch):
             found = run_case(step, fault)
         self.assertIn(violation, found)
         self.assertEqual([], run_case(step, fault))
--- a/wisteriawood/tests/peering_tests.py
+++ b/wisteriawood/tests/peering_tests.py
@@ -1,4 +1,4 @@
-"""Peer links between entry hosts."""
+"""Tests of the peer links between entry hosts."""
 
 import unittest
 
@@ -22,7 +22,7 @@
 
 class PeeringTests(unittest.TestCase):
 
-    def test_each_link_has_two_ends_and_zones_are_joined(self):
+    def test_each_link_has_two_ends_and_some_connect_zones(self):
         async def _check(world):
             entries = builders.add_entries(world, NAMES)
             await anyio.sleep(10)
@@ -34,7 +34,7 @@
 
         builders.run_world(_check)
 
-    def test_links_outlive_and_return_without_the_platform(self):
+    def test_links_are_restored_without_the_platform(self):
         async def _check(world):
             entries = builders.add_entries(world, NAMES[:2])
             await anyio.sleep(5)
--- a/wisteriawood/tests/questionnaire_tests.py
+++ b/wisteriawood/tests/questionnaire_tests.py
@@ -41,11 +41,11 @@
     def test_examples_result_in_a_configuration_with_explanations(self):
         for team in TEAMS:
             answers = questionnaire.read_file(file=example(team))
-            outcome = questionnaire.build(answers)
-            document = questionnaire.merge({"teams": {}}, outcome)
+            generated = questionnaire.build(answers)
+            document = questionnaire.merge({"teams": {}}, generated)
             parsed = configuration.parse(document, version=1)
             self.assertIsNotNone(parsed.team(team))
-            self.assertGreater(len(outcome.explanations), 8)
+            self.assertGreater(len(generated.explanations), 8)
 
     def test_weights_follow_the_order_of_the_answer(self):
         weights = {
--- a/wisteriawood/zones/claims.py
+++ b/wisteriawood/zones/claims.py
@@ -1,4 +1,4 @@
-"""Claims: which scheduler may claim which rack, and the claim itself."""
+"""Decides which scheduler may claim a rack, and commits the claim."""
 
 import dataclasses
 import hashlib
--- a/wisteriawood/zones/drains.py
+++ b/wisteriawood/zones/drains.py
@@ -1,4 +1,4 @@
-"""Reads which hosts of one kind operators have requested to drain."""
+"""Drain requests of operators for the hosts of one kind."""
 
 import anyio
 
@@ -14,7 +14,7 @@
 
 
 class Drains:
-    """The drain requests of operators for hosts of one kind, as last read.
+    """The drain requests, as last read from the platform.
 
     Args:
         platform: Link to the platform.
--- a/wisteriawood/zones/followers.py
+++ b/wisteriawood/zones/followers.py
@@ -16,7 +16,7 @@
 from wisteriawood.zones import peering
 
 POLL_PERIOD_S = 1.0
-# During a longer poll, the daemon follows its peers as well.
+# While a poll takes longer than this, the daemon follows its peers as well.
 SLOW_POLL_S = 0.5
 REQUEST_PERIOD_S = 1.0
 # A daemon without a version waits this long after the first heartbeat of a
@@ -75,8 +75,8 @@
         """Return why the daemon can't serve yet; empty if it can."""
         if self.version < 0:
             return (
-                "no configuration yet: none was received from the platform "
-                "or from a peer"
+                "no configuration: neither the platform nor a peer has "
+                "given one yet"
             )
         return ""
 
@@ -158,8 +158,8 @@
         changes = await config_links.read_changes(
             self._platform, after=self.version
         )
-        # Changes are missing: the platform keeps only the newest ones, and
-        # this daemon has not read it for longer than that.
+        # The platform stores only the newest changes. If the one after the
+        # own version has been deleted already, read the whole document.
         if changes and changes[0].version > self.version + 1:
             self._apply_snapshot(
                 await config_links.read_newest(self._platform)
