--- a/wisteriawood/telemetry/job_metrics.py
+++ b/wisteriawood/telemetry/job_metrics.py
@@ -6,7 +6,23 @@
 
 
 class JobMetrics:
-    """Metrics of a job host."""
+    """Metrics of a job host.
+
+    Attributes:
+        submissions: Submissions of jobs, by outcome.
+        jobs_opened: Jobs and occurrences of jobs that became ready.
+        ends: Runs that ended, by outcome.
+        jobs_ended: Jobs that ended, by state.
+        paces: Changes of the pace of fillers, by cause.
+        calls: Calls to the store and to workers, by outcome.
+        lines_left_out: Log lines that were dropped.
+        cells_held: Cells that this host holds.
+        accepted_s: Time from the complete request to its answer.
+        started_s: Time from the assignment of a run to its start.
+        acknowledged_s: Time from the report of a run's end to its commit.
+        takeover_s: Time from the claim of a cell until it is open.
+        registry: Registry of the metrics.
+    """
 
     __slots__ = (
         "accepted_s",
@@ -27,28 +43,20 @@
     def __init__(self):
         self.registry = prometheus_client.CollectorRegistry()
         self.handins = self._counter(
-            "handins", "Submissions of jobs, by outcome.", "outcome"
-        )
-        self.ready = self._counter(
-            "jobs_opened", "Jobs and occurrences of jobs that became ready."
-        )
-        self.ends = self._counter(
-            "run_ends", "Runs that ended, by outcome.", "outcome"
-        )
-        self.jobs_ended = self._counter(
-            "jobs_ended", "Jobs that ended, by state.", "state"
-        )
-        self.paces = self._counter(
-            "paces", "Changes of the pace of fillers, by cause.", "cause"
+            "handins", "Jobs handed in, by outcome.", "outcome"
         )
+        self.ready = self._counter("jobs_opened", "Jobs and occurrences.")
+        self.ends = self._counter("run_ends", "Ends of runs.", "outcome")
+        self.jobs_ended = self._counter("jobs_ended", "Ends of jobs.", "state")
+        self.paces = self._counter("paces", "Orders to fillers.", "cause")
         self.calls = self._counter(
             "calls",
-            "Calls to the store and to workers, by outcome.",
+            "Calls to the store and to workers.",
             "to",
             "outcome",
         )
         self.lines_left_out = self._counter(
-            "log_lines_left_out", "Log lines that were dropped."
+            "log_lines_left_out", "Log lines over the budget."
         )
         self.cells_held = prometheus_client.Gauge(
             "wisteriawood_cells_held",
@@ -56,17 +64,17 @@
             registry=self.registry,
         )
         self.accepted_s = self._histogram(
-            "handin_seconds", "Time from the complete request to its answer."
+            "handin_seconds", "From the whole request to its answer."
         )
         self.started_s = self._histogram(
-            "start_seconds", "Time from the assignment of a run to its start."
+            "start_seconds", "From the assignment of a run to its start."
         )
         self.acknowledged_s = self._histogram(
-            "end_seconds", "Time from the report of a run's end to its commit."
+            "end_seconds", "From the report of an end to its commit."
         )
         self.takeover_s = self._histogram(
             "takeover_seconds",
-            "Time from the claim of a cell until it is open.",
+            "From the claim of a cell to its work.",
         )
 
     def _counter(
--- a/wisteriawood/telemetry/metrics.py
+++ b/wisteriawood/telemetry/metrics.py
@@ -41,14 +41,14 @@
         )
         self.latency_s = prometheus_client.Histogram(
             "wisteriawood_request_latency_seconds",
-            "Time from the complete request to the complete answer.",
+            "Time from the whole request to the whole answer.",
             ["team"],
             buckets=LATENCY_BUCKETS_S,
             registry=self.registry,
         )
         self.in_flight = prometheus_client.Gauge(
             "wisteriawood_requests_in_flight",
-            "Requests that a target may be processing.",
+            "Requests that may be at a target.",
             registry=self.registry,
         )
         self.waiting = prometheus_client.Gauge(
@@ -88,12 +88,12 @@
         )
         self.commits = prometheus_client.Counter(
             "wisteriawood_commits",
-            "Transactions committed to the platform's table.",
+            "Transactions committed to the table.",
             registry=self.registry,
         )
         self.transitions = prometheus_client.Counter(
             "wisteriawood_transitions",
-            "Changes of task state committed to the platform's table.",
+            "Changes of state committed to the table.",
             registry=self.registry,
         )
 
