--- a/wisteriawood/machines/allocators.py
+++ b/wisteriawood/machines/allocators.py
@@ -215,9 +215,7 @@
     ) -> bool:
         spec = waiting.task.spec
         if now_s - waiting.since_s < waiting.min_wait_s:
-            waiting.reason = (
-                "another scheduler of the zone tries to place it first"
-            )
+            waiting.reason = "another scheduler of the zone comes first"
             return False
         needs = self.predict_needs(spec)
         if not self._is_within_limit(spec.team, needs):
@@ -273,7 +271,7 @@
                 return None
         elif not needs.fits(reserved.worker.free):
             waiting.reason = (
-                f"waits for free resources on worker {waiting.reserved_worker}"
+                f"waits for room on worker {waiting.reserved_worker}"
             )
             return None
         request = placement_base.Request(
@@ -436,7 +434,7 @@
             return False
         self._reserve(waiting, plan.entry, now_s)
         self.evictions.order(
-            plan, reason=f"evicted to make room for {spec.id}", now_s=now_s
+            plan, reason=f"makes room for {spec.id}", now_s=now_s
         )
         waiting.reason = f"waits for evictions on {plan.entry.worker.name}"
         return True
--- a/wisteriawood/machines/placers.py
+++ b/wisteriawood/machines/placers.py
@@ -297,7 +297,7 @@
             if now_s - seen_s < CAPACITY_RETENTION_S
         }
         if not self._capacity_seen_s:
-            waiting.reason = "the host list has no workers in this zone"
+            waiting.reason = "the host list names no worker in this zone"
             return
         if any(needs.fits(capacity) for capacity in self._capacity_seen_s):
             return
--- a/wisteriawood/policies/admission/in_time.py
+++ b/wisteriawood/policies/admission/in_time.py
@@ -50,7 +50,7 @@
     if remaining >= RESERVE_SHARE * view.capacity_millicores:
         return None
     return base.Refusal(
-        reason="no cell has enough free CPU for this long-running job",
+        reason="no cell has room for a standing job of this size",
         retry_after_s=STANDING_RETRY_S + _retry_spread_s(spec),
     )
 
@@ -66,7 +66,7 @@
     if late_s <= 0:
         return None
     return base.Refusal(
-        reason="the job would wait too long to complete in time",
+        reason="the job would wait too long to be done in time",
         retry_after_s=late_s + _retry_spread_s(spec),
     )
 
