--- a/wisteriawood/cells/cells.py
+++ b/wisteriawood/cells/cells.py
@@ -7,11 +7,11 @@
 from anyio import abc
 
 from wisteriawood.cells import claims
+from wisteriawood.cells import interference_models
 from wisteriawood.cells import job_writers
 from wisteriawood.cells import lending
 from wisteriawood.cells import meters
 from wisteriawood.cells import placers
-from wisteriawood.cells import pressure
 from wisteriawood.cells import progress
 from wisteriawood.cells import runs
 from wisteriawood.cells import tables
@@ -50,9 +50,9 @@
         jobs: All jobs of the cell, by id.
         fleet: The workers, by id.
         last_job_at_s: Monotonic time at which the newest job was added.
-        ledger: Writes the rows of the jobs.
-        book: Measured effect of fillers on serving tasks.
-        meter: Measures the rate at which fillers complete work.
+        writer: Writes the rows of the jobs.
+        model: Measured effect of fillers on serving tasks.
+        filler_meter: Measures the rate at which fillers complete work.
         orphans: Runs loaded from the store whose worker the directory has
             not listed yet, by worker.
         other_loads: Last reported loads of the service's other cells, by
@@ -64,17 +64,17 @@
         "_placement_requested",
         "_placer",
         "_waiting",
-        "book",
         "claim",
         "counters",
+        "filler_meter",
         "fleet",
         "jobs",
         "last_job_at_s",
-        "ledger",
-        "meter",
+        "model",
         "orphans",
         "other_loads",
         "store",
+        "writer",
     )
 
     def __init__(
@@ -93,15 +93,15 @@
         self.fleet: dict[str, workers.Worker] = {}
         self.other_loads: dict[str, dict] = {}
         self.orphans: dict[str, list[runs.Run]] = {}
-        self.ledger = job_writers.JobWriter(
+        self.writer = job_writers.JobWriter(
             store=store,
             claim_at=tables.claim_row(claim.cell),
             claim_version=claim.version,
         )
-        self.book = pressure.PressureBook()
-        self._placer = placers.Placer(policy=policy, book=self.book)
+        self.model = interference_models.InterferenceModel()
+        self._placer = placers.Placer(policy=policy, model=self.model)
         self._waiting: dict[str, tuple[jobs.Job, list[list[tasks.Task]]]] = {}
-        self.meter = meters.FillerMeter()
+        self.filler_meter = meters.FillerMeter()
         self._group: abc.TaskGroup | None = None
         self._placement_requested = anyio.Event()
 
@@ -131,9 +131,9 @@
         self.last_job_at_s = anyio.current_time()
         if not job.is_ended() and job.open_due(time.time() * 1000):
             self.counters.ready.inc()
-        self.refresh(job)
+        self.update_waiting(job)
 
-    def refresh(self, job: jobs.Job) -> None:
+    def update_waiting(self, job: jobs.Job) -> None:
         """Recompute which tasks of a job are ready to start.
 
         Args:
@@ -151,7 +151,7 @@
         for job in self.jobs.values():
             if job.spec.is_timed() and not job.is_ended():
                 if job.open_due(now_unix_ms):
-                    self.refresh(job)
+                    self.update_waiting(job)
 
     def request_placement(self) -> None:
         """Request a placement pass and return at once."""
@@ -175,7 +175,9 @@
         if not self._waiting or self._group is None:
             return
         now_s = anyio.current_time()
-        self._placer.is_calm = now_s - self.last_job_at_s >= INTAKE_IDLE_S
+        self._placer.is_intake_idle = (
+            now_s - self.last_job_at_s >= INTAKE_IDLE_S
+        )
         assigned = self._placer.place(
             self._waiting, self.fleet.values(), now_s
         )
@@ -201,8 +203,8 @@
         for job in {run.job.id: run.job for _worker, run in assigned}.values():
             if job.state is jobs.JobState.QUEUED:
                 job.state = jobs.JobState.RUNNING
-            self.refresh(job)
-            batches.append(self.ledger.mark(job))
+            self.update_waiting(job)
+            batches.append(self.writer.schedule_write(job))
         self._group.start_soon(self._start_assigned, assigned, batches)
 
     async def _start_assigned(
@@ -210,7 +212,7 @@
         assigned: list[tuple[workers.Worker, runs.Run]],
         batches: list[job_writers.Batch],
     ) -> None:
-        await self.ledger.wait_until_stored(batches)
+        await self.writer.wait_until_stored(batches)
         for worker, run in assigned:
             if run.is_current() and not run.is_stopping:
                 worker.order(run)
@@ -236,10 +238,10 @@
             run, so that nothing changes in the store.
         """
         now_s = anyio.current_time()
-        worker.free(run)
+        worker.remove_run(run)
         self.counters.ends.labels(outcome=outcome).inc()
         if outcome is tasks.Outcome.DONE and run.step.is_filler:
-            self.meter.add(specs.step_millicore_s(run.step))
+            self.filler_meter.add(specs.step_millicore_s(run.step))
         if outcome in (tasks.Outcome.DONE, tasks.Outcome.FAILED):
             has_failed = outcome is tasks.Outcome.FAILED
             if worker.note_end(run, has_failed, now_s):
@@ -287,8 +289,8 @@
             )
         if job.is_ended() and not was_ended:
             self.end_job(job, job.state)
-        self.refresh(job)
-        return self.ledger.mark(job)
+        self.update_waiting(job)
+        return self.writer.schedule_write(job)
 
     def end_job(
         self, job: jobs.Job, state: jobs.JobState
@@ -317,8 +319,8 @@
             for run in list(worker.runs.values()):
                 if run.job is job:
                     self.stop_run(worker, run)
-        self.refresh(job)
-        return self.ledger.mark(job, lending.cancel_lent(job))
+        self.update_waiting(job)
+        return self.writer.schedule_write(job, lending.cancel_lent(job))
 
     def stop_run(self, worker: workers.Worker, run: runs.Run) -> None:
         """Order a run to stop; `end_run` is called once it has.
@@ -362,7 +364,7 @@
             worker: The worker.
             run: The run.
         """
-        # If the call fails, the guard's next check sends the next step
+        # If the call fails, the filler pacer's next check sends the next step
         # while the tail latency is still near its bound.
         self._send_in_background(
             worker,
--- a/wisteriawood/cells/holders.py
+++ b/wisteriawood/cells/holders.py
@@ -8,15 +8,15 @@
 from wisteriawood.cells import cells
 from wisteriawood.cells import claims
 from wisteriawood.cells import evacuations
-from wisteriawood.cells import guards
 from wisteriawood.cells import job_writers
-from wisteriawood.cells import knowledge
 from wisteriawood.cells import leases
 from wisteriawood.cells import lending
 from wisteriawood.cells import orders
+from wisteriawood.cells import pacers
 from wisteriawood.cells import regrouping
 from wisteriawood.cells import runs
 from wisteriawood.cells import tables
+from wisteriawood.cells import weight_exchanges
 from wisteriawood.cells import worker_sessions
 from wisteriawood.cells import workers
 from wisteriawood import errors
@@ -49,7 +49,7 @@
         zones: All availability zones, sorted.
         dial: Opens the link to a worker.
         lease_s: Duration of the workers' leases.
-        keep_s: Time for which the state of an ended job can be queried.
+        retention_s: Time for which the state of an ended job can be queried.
         former_may_renew: Whether the former holder may still renew leases.
 
     Attributes:
@@ -60,14 +60,14 @@
 
     __slots__ = (
         "_dial",
+        "_filler_pacer",
         "_former_leases_lapsed_at_s",
         "_group",
-        "_guard",
         "_held_since_s",
-        "_keep_s",
         "_lease_s",
         "_lender",
         "_regrouper",
+        "_retention_s",
         "_ticks",
         "_zones",
         "cell",
@@ -82,21 +82,21 @@
         zones: list[str],
         dial: Dial,
         lease_s: float,
-        keep_s: float,
+        retention_s: float,
         former_may_renew: bool,
     ):
         self.cell = cell
         self._zones = zones
         self._dial = dial
         self._lease_s = lease_s
-        self._keep_s = keep_s
+        self._retention_s = retention_s
         lapse_s = lease_s * leases.CLOCK_DRIFT_RATIO + leases.LAPSE_MARGIN_S
         if former_may_renew:
             lapse_s += RENEW_WITHOUT_STORE_S
         self._former_leases_lapsed_at_s = anyio.current_time() + lapse_s
         self._group: abc.TaskGroup | None = None
         self._held_since_s = anyio.current_time()
-        self._guard = guards.Guard(cell=cell)
+        self._filler_pacer = pacers.FillerPacer(cell=cell)
         self._lender = lending.Lender(cell=cell)
         self._regrouper = regrouping.Regrouper(cell=cell)
         self._ticks = 0
@@ -120,7 +120,7 @@
                 self._group = group
                 self.cell.open(group)
                 for bucket in self._zones:
-                    group.start_soon(self.cell.ledger.write_bucket, bucket)
+                    group.start_soon(self.cell.writer.write_bucket, bucket)
                 feed = feeds.Feed(
                     store=self.cell.store,
                     table=tables.specs_table(
@@ -130,7 +130,9 @@
                     after=after,
                 )
                 group.start_soon(feed.run)
-                group.start_soon(knowledge.Exchange(cell=self.cell).run)
+                group.start_soon(
+                    weight_exchanges.WeightExchange(cell=self.cell).run
+                )
                 self.is_open = True
                 self.update_fleet(self.listed_workers)
                 took_s = anyio.current_time() - started_at_s
@@ -146,7 +148,7 @@
                 await self._tick_forever()
         finally:
             self.is_open = False
-            self.cell.ledger.close()
+            self.cell.writer.close()
             with anyio.CancelScope(shield=True):
                 for worker in list(self.cell.fleet.values()):
                     worker.close()
@@ -292,10 +294,10 @@
             self._ticks += 1
             self.cell.open_occurrences()
             self._drop_orphans()
-            self._guard.look()
-            self._lender.look()
+            self._filler_pacer.tick()
+            self._lender.tick()
             evacuations.evacuate(self.cell, anyio.current_time())
-            self._regrouper.look(anyio.current_time())
+            self._regrouper.tick(anyio.current_time())
             self.cell.request_placement()
             if self._ticks % LOAD_LOG_PERIOD_TICKS == 0:
                 self._log_load()
@@ -348,7 +350,7 @@
         for job in list(self.cell.jobs.values()):
             if not job.is_ended() or self.cell.has_runs(job):
                 continue
-            if now_unix_ms - job.ended_unix_ms < self._keep_s * 1000:
+            if now_unix_ms - job.ended_unix_ms < self._retention_s * 1000:
                 continue
             keys = [
                 tables.job_row(job.bucket, job.id),
--- a/wisteriawood/cells/pressure.py
+++ b/wisteriawood/cells/interference_models.py
@@ -14,9 +14,9 @@
 
 # Tail ratio of a task without load: its tail latency divided by its bound. It
 # only sets the scale of loads: an error scales loads and weights alike.
-IDLE_STRAIN = 0.2
+IDLE_LATENCY_RATIO = 0.2
 # Load at which a tail latency reaches its bound.
-BOUND_LOAD = 1.0 - IDLE_STRAIN
+BOUND_LOAD = 1.0 - IDLE_LATENCY_RATIO
 # Higher loads can't be told apart by the tail latency of a full queue.
 MAX_LOAD = 0.95
 # Baseline load of a serving task before its first report.
@@ -59,13 +59,13 @@
 Shares = dict[str, float]
 
 
-def load_from_tail_ratio(tail_ratio: float) -> float:
+def load_from_latency_ratio(latency_ratio: float) -> float:
     """Return the load at which a tail latency is expected.
 
     Args:
-        tail_ratio: Tail latency divided by its bound, above 0.
+        latency_ratio: Tail latency divided by its bound, above 0.
     """
-    load = 1.0 - IDLE_STRAIN / max(tail_ratio, IDLE_STRAIN)
+    load = 1.0 - IDLE_LATENCY_RATIO / max(latency_ratio, IDLE_LATENCY_RATIO)
     return min(load, MAX_LOAD)
 
 
@@ -121,7 +121,7 @@
         self.variance = variance
 
 
-class PressureBook:
+class InterferenceModel:
     """Interference weights of all pairs of serving and filler images.
 
     Estimates from this cell's own reports are kept apart from those that
@@ -236,7 +236,7 @@
         """Return the number of known filler images, at least 1."""
         return max(1, len(self._fillers))
 
-    def heavy_fillers(self, serving: str) -> frozenset[str]:
+    def incompatible_fillers(self, serving: str) -> frozenset[str]:
         """Return the filler images known to be heavy for a serving image.
 
         Args:
@@ -258,7 +258,7 @@
         serving: str,
         baseline: BaselineLoad,
         shares: Shares,
-        tail_ratio: float,
+        latency_ratio: float,
         now_s: float,
     ) -> None:
         """Update the estimates from the tail latency of a serving task.
@@ -267,11 +267,11 @@
             serving: Image of the serving task.
             baseline: Estimate of its baseline load; updated in place.
             shares: CPU shares of the fillers on the same worker, by image.
-            tail_ratio: Tail latency divided by its bound.
+            latency_ratio: Tail latency divided by its bound.
             now_s: Monotonic time of the report.
         """
         baseline.predict(now_s)
-        load = load_from_tail_ratio(tail_ratio)
+        load = load_from_latency_ratio(latency_ratio)
         expected = baseline.mean + self.added_load(serving, shares)
         if load >= MAX_LOAD and expected >= MAX_LOAD:
             return
@@ -310,7 +310,7 @@
         rate = PEAK_RISE_RATE if load > peak else PEAK_DECAY_RATE
         self._peaks[serving] = peak + rate * (load - peak)
 
-    def export(self) -> dict[str, list[float]]:
+    def export_pairs(self) -> dict[str, list[float]]:
         """Return the pairs with least variance, to share with other cells."""
         best = sorted(
             (
@@ -329,7 +329,7 @@
             for (serving, filler), pair in best[:MAX_SHARED_PAIRS]
         }
 
-    def hear(
+    def import_pairs(
         self, cell: str, shared: dict[str, typing.Sequence[float]]
     ) -> None:
         """Merge the estimates that another cell shared.
--- a/wisteriawood/cells/job_writers.py
+++ b/wisteriawood/cells/job_writers.py
@@ -84,7 +84,7 @@
         self._writing_since_s: dict[str, float] = {}
         self.commits = 0
 
-    def mark(
+    def schedule_write(
         self,
         job: jobs.Job,
         extra_rows: dict[stores.RowKey, bytes | None] | None = None,
@@ -120,7 +120,7 @@
             if not batch.is_saved:
                 raise tables.CellLostError("the cell has another holder")
 
-    def is_flowing(self, now_s: float) -> bool:
+    def is_keeping_up(self, now_s: float) -> bool:
         """Return whether no transaction is taking unusually long.
 
         Args:
--- a/wisteriawood/cells/lending.py
+++ b/wisteriawood/cells/lending.py
@@ -120,7 +120,7 @@
         # Monotonic times at which each task was first and last seen waiting.
         self._waiting_since_s: dict[str, tuple[float, float]] = {}
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Lend tasks that have waited long enough, a few in each pass."""
         now_s = anyio.current_time()
         lent = 0
@@ -147,8 +147,8 @@
             cell=cell.name,
             to=to,
         )
-        cell.ledger.mark(job, extras)
-        cell.refresh(job)
+        cell.writer.schedule_write(job, extras)
+        cell.update_waiting(job)
 
     def _has_waited_long_enough(
         self, task: tasks.Task, job: jobs.Job, now_s: float
--- a/wisteriawood/cells/members.py
+++ b/wisteriawood/cells/members.py
@@ -174,10 +174,10 @@
             The time in seconds; 0 if nothing can be concluded.
         """
         now_s = anyio.current_time()
-        readable_since_s = self.heartbeat_feed.steady_since_s
+        readable_since_s = self.heartbeat_feed.unbroken_since_s
         if (
             not readable_since_s
-            or now_s - self.heartbeat_feed.heard_at_s > HOST_SILENCE_S
+            or now_s - self.heartbeat_feed.answered_at_s > HOST_SILENCE_S
         ):
             return 0.0
         if now_s - self.heartbeat_written_at_s > MAX_OWN_HEARTBEAT_AGE_S:
--- a/wisteriawood/cells/orders.py
+++ b/wisteriawood/cells/orders.py
@@ -77,15 +77,15 @@
                 await anyio.sleep(RETRY_DELAY_S)
                 continue
             if answer is runners.StartAnswer.STARTED:
-                run.settle(anyio.current_time())
-                run.confirm(run.settled_at_s)
-                if run.is_kept:
+                run.mark_answered(anyio.current_time())
+                run.confirm(run.answered_at_s)
+                if run.is_pinned:
                     run.pace_percent = PINNED_PACE_PERCENT
                     self._cell.send_pace(self._worker, run)
                 if run.step.is_filler:
-                    self._worker.note_shares(run.settled_at_s)
+                    self._worker.note_shares(run.answered_at_s)
                 self._cell.counters.started_s.observe(
-                    run.settled_at_s - run.assigned_at_s
+                    run.answered_at_s - run.assigned_at_s
                 )
                 return
             self._handle_refusal(run, answer, is_first=attempt == 0)
@@ -116,7 +116,7 @@
         run.was_sent = True
         try:
             answer = await worker.link.start(order)
-        except runners.OtherLifeError:
+        except runners.OtherInstanceError:
             return None
         except runners.FencedError:
             raise
@@ -143,7 +143,7 @@
         worker.note_refusal(now_s)
         if answer is runners.StartAnswer.UNHEALTHY:
             worker.avoided_until_s = now_s + UNHEALTHY_PAUSE_S
-        run.settle(now_s)
+        run.mark_answered(now_s)
         if answer is runners.StartAnswer.OLD_RUN:
             # The next report lists the end of the run, or shows that the
             # run is not there.
@@ -153,7 +153,7 @@
             self._cell.request_placement()
             return
         # An earlier attempt without an answer may still take effect.
-        run.is_settled = False
+        run.is_answered = False
         run.is_stopping = True
         worker.order(run)
 
@@ -168,5 +168,5 @@
             except errors.LinkError:
                 await anyio.sleep(STOP_RETRY_DELAY_S)
                 continue
-            run.settle(anyio.current_time())
+            run.mark_answered(anyio.current_time())
             return
--- a/wisteriawood/cells/guards.py
+++ b/wisteriawood/cells/pacers.py
@@ -3,7 +3,7 @@
 import anyio
 
 from wisteriawood.cells import cells
-from wisteriawood.cells import pressure
+from wisteriawood.cells import interference_models
 from wisteriawood.cells import runs
 from wisteriawood.cells import workers
 from wisteriawood.telemetry import events
@@ -12,8 +12,8 @@
 _LOG = events.Logger(name=__name__)
 # Load of a serving task from which the fillers on its worker are slowed down,
 # and the load that slowing aims at and speeding up must not exceed.
-SLOWDOWN_LOAD = pressure.BOUND_LOAD - 0.035
-TARGET_LOAD = pressure.BOUND_LOAD - 0.08
+SLOWDOWN_LOAD = interference_models.BOUND_LOAD - 0.035
+TARGET_LOAD = interference_models.BOUND_LOAD - 0.08
 # Time over the bound after which all fillers relevant to the task are paused;
 # well below the four seconds that count as harm.
 MAX_OVERLOAD_S = 1.2
@@ -29,7 +29,7 @@
 MOVE_BELOW_PERCENT = 30
 
 
-class Guard:
+class FillerPacer:
     """Adjusts the pace of fillers to the load of serving tasks.
 
     Args:
@@ -43,7 +43,7 @@
         self._overloaded_since_s: dict[str, float] = {}
         self._stepped_at_s: dict[str, float] = {}
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Slow down or speed up fillers as the tail latencies require."""
         now_s = anyio.current_time()
         for worker in self._cell.fleet.values():
@@ -51,7 +51,7 @@
 
     def _check_worker(self, worker: workers.Worker, now_s: float) -> None:
         most_loaded, load = self._find_most_loaded(worker, now_s)
-        if load < pressure.BOUND_LOAD:
+        if load < interference_models.BOUND_LOAD:
             self._overloaded_since_s.pop(worker.id, None)
             overloaded_s = 0.0
         else:
@@ -93,10 +93,12 @@
                 run.signal > 0
                 and now_s - run.started_at_s >= workers.TAIL_WARMUP_S
             ):
-                load = pressure.load_from_tail_ratio(run.strain())
+                load = interference_models.load_from_latency_ratio(
+                    run.latency_ratio()
+                )
             else:
                 load = worker.baseline_load(run).mean
-                load += self._cell.book.added_load(run.step.image, shares)
+                load += self._cell.model.added_load(run.step.image, shares)
             if found is None or load > highest:
                 found, highest = run, load
         return found, highest
@@ -105,8 +107,8 @@
         self, worker: workers.Worker, most_loaded: runs.Run, run: runs.Run
     ) -> float:
         """Return the load that a filler adds to a serving task."""
-        book = self._cell.book
-        weight = book.weight(most_loaded.step.image, run.step.image)
+        model = self._cell.model
+        weight = model.weight(most_loaded.step.image, run.step.image)
         return weight * worker.share_of(run)
 
     def _halt(
@@ -124,7 +126,7 @@
             run
             for run in fillers
             if self._added_load(worker, most_loaded, run) >= MIN_RELEVANT_LOAD
-            or not self._cell.book.is_known(
+            or not self._cell.model.is_known(
                 most_loaded.step.image, run.step.image
             )
         ]
@@ -169,12 +171,12 @@
         slowed = [run for run in fillers if run.pace_percent < 100]
         if not slowed:
             return
-        book = self._cell.book
-        loads = worker.projected_loads(book)
+        model = self._cell.model
+        loads = worker.projected_loads(model)
 
         def _highest_weight(run: runs.Run) -> float:
             return max(
-                (book.weight(image, run.step.image) for image in loads),
+                (model.weight(image, run.step.image) for image in loads),
                 default=0.0,
             )
 
@@ -183,7 +185,7 @@
         share = run.step.cpu_millicores / worker.capacity_millicores()
         more = share * (percent - run.pace_percent) / 100
         for image, load in loads.items():
-            weight = book.conservative_weight(image, run.step.image)
+            weight = model.conservative_weight(image, run.step.image)
             if load + weight * more > TARGET_LOAD:
                 return
         self._set_pace(worker, run, percent, "calm")
@@ -196,7 +198,7 @@
         for run in fillers:
             if run.pace_percent >= MOVE_BELOW_PERCENT:
                 continue
-            if run.step.is_checkpointing and not run.is_kept:
+            if run.step.is_checkpointing and not run.is_pinned:
                 self._cell.counters.paces.labels(cause="move").inc()
                 self._cell.stop_run(worker, run)
 
@@ -222,6 +224,8 @@
             job_events.FILLERS_PACED,
             worker=worker.id,
             strained=most_loaded.name if most_loaded else "",
-            strain=round(most_loaded.strain(), 2) if most_loaded else 0.0,
+            strain=(
+                round(most_loaded.latency_ratio(), 2) if most_loaded else 0.0
+            ),
             fillers={run.name: run.pace_percent for run in fillers},
         )
--- a/wisteriawood/cells/placers.py
+++ b/wisteriawood/cells/placers.py
@@ -3,7 +3,7 @@
 import math
 import typing
 
-from wisteriawood.cells import pressure
+from wisteriawood.cells import interference_models
 from wisteriawood.cells import progress
 from wisteriawood.cells import runs
 from wisteriawood.cells import workers
@@ -18,12 +18,12 @@
 # Step of memory within which tasks belong to the same placement class.
 MEMORY_CLASS_MB = 4096
 # Time without a running task after which a job of fillers gets one started
-# where it interferes least; the guard then slows it as far as needed.
+# where it interferes least; the filler pacer then slows it as far as needed.
 IDLE_JOB_TIMEOUT_S = 2.0
 # Such tasks on one worker; together they use less CPU than one at full speed.
 MAX_PINNED_PER_WORKER = 4
 # Multiple of its objective after which the result of a job has no value.
-WORTHLESS_X = 3.0
+EXPIRY_FACTOR = 3.0
 
 
 def has_no_value(job: jobs.Job, now_s: float) -> bool:
@@ -33,7 +33,7 @@
         job: The job.
         now_s: Monotonic time.
     """
-    return now_s - job.accepted_at_s > WORTHLESS_X * job.objective_s
+    return now_s - job.accepted_at_s > EXPIRY_FACTOR * job.objective_s
 
 
 def start_order(job: jobs.Job, now_s: float) -> tuple:
@@ -61,31 +61,34 @@
 
     Args:
         policy: Chooses among the workers that have room.
-        book: Estimates of the load that fillers add to serving tasks.
+        model: Estimates of the load that fillers add to serving tasks.
 
     Attributes:
-        is_calm: Whether no job was submitted for a while. Idle filler jobs
-            are started only then, since jobs that can still meet their
-            objective need the CPU more.
+        is_intake_idle: Whether no job was submitted for a while. Idle
+            filler jobs are started only then, since jobs that can still
+            meet their objective need the CPU more.
     """
 
     __slots__ = (
-        "_book",
         "_idle_since_s",
+        "_model",
         "_policy",
         "_unplaced_millicores",
-        "is_calm",
+        "is_intake_idle",
     )
 
     def __init__(
-        self, *, policy: base.SpreadingPolicy, book: pressure.PressureBook
+        self,
+        *,
+        policy: base.SpreadingPolicy,
+        model: interference_models.InterferenceModel,
     ):
         self._policy = policy
-        self._book = book
+        self._model = model
         self._idle_since_s: dict[str, float] = {}
         # CPU of the tasks that did not fit in this pass, by class.
         self._unplaced_millicores: dict[tuple, int] = {}
-        self.is_calm = True
+        self.is_intake_idle = True
 
     def place(
         self,
@@ -156,7 +159,7 @@
         if (
             not placed
             and step.is_filler
-            and self.is_calm
+            and self.is_intake_idle
             and self._has_idled_too_long(job, now_s)
         ):
             return self._place_least_disruptive(
@@ -185,7 +188,7 @@
         candidates = [
             worker
             for worker in self._candidates(job, task, step, usable, math.inf)
-            if sum(run.is_kept for run in worker.runs.values())
+            if sum(run.is_pinned for run in worker.runs.values())
             < MAX_PINNED_PER_WORKER
         ]
         if not candidates:
@@ -194,12 +197,12 @@
             candidates,
             key=lambda w: (
                 now_s < w.no_fillers_until_s,
-                w.load_with(step, self._book),
+                w.load_with(step, self._model),
                 w.id,
             ),
         )
         run = _assign(job, task, worker, now_s)
-        run.is_kept = True
+        run.is_pinned = True
         found.append((worker, run))
         del self._idle_since_s[job.id]
         return 1
@@ -215,7 +218,7 @@
         candidates = self._candidates(job, task, step, usable, now_s)
         if not candidates:
             return None
-        return self._policy.choose(candidates, step, self._book)
+        return self._policy.choose(candidates, step, self._model)
 
     def _candidates(
         self,
@@ -269,7 +272,7 @@
                 found.extend(placed)
                 return len(placed)
             for worker, run in placed:
-                worker.free(run)
+                worker.remove_run(run)
                 run.task.release(tasks.Phase.WAITING)
                 run.task.run = number - 1
         return 0
@@ -300,5 +303,5 @@
 ) -> runs.Run:
     task.assign(worker_id=worker.id, run=number or task.run + 1)
     run = runs.Run(job=job, task=task, assigned_at_s=now_s)
-    worker.take(run)
+    worker.add_run(run)
     return run
--- a/wisteriawood/cells/regrouping.py
+++ b/wisteriawood/cells/regrouping.py
@@ -42,7 +42,7 @@
         self._cell = cell
         self._moved_at_s = 0.0
 
-    def look(self, now_s: float) -> None:
+    def tick(self, now_s: float) -> None:
         """Move the serving task whose move opens most CPU to fillers, if any.
 
         Args:
@@ -51,7 +51,7 @@
         if now_s - self._moved_at_s < MOVE_INTERVAL_S:
             return
         # A stopped task can't be started again while the store is down.
-        if not self._cell.ledger.is_flowing(now_s):
+        if not self._cell.writer.is_keeping_up(now_s):
             return
         waiting = self._waiting_filler_millicores()
         if not waiting:
@@ -102,20 +102,20 @@
         self, worker: workers.Worker, waiting: dict[str, float]
     ) -> dict[str, float]:
         """Return the CPU that moving a task opens to fillers, by image."""
-        book = self._cell.book
+        model = self._cell.model
         counts = worker.serving_images()
         if len(counts) < 2:
             return {}
-        left = max(0.0, worker.left_over())
+        left = max(0.0, worker.unused_millicores())
         total = sum(waiting.values())
         found = {}
         for image, count in counts.items():
             if count > MAX_IMAGE_TASKS:
                 continue
             others = frozenset().union(
-                *(book.heavy_fillers(i) for i in counts if i != image)
+                *(model.incompatible_fillers(i) for i in counts if i != image)
             )
-            opened = book.heavy_fillers(image) - others
+            opened = model.incompatible_fillers(image) - others
             share = sum(waiting.get(filler, 0.0) for filler in opened) / total
             found[image] = left * share / count
         return found
@@ -150,8 +150,8 @@
         """Return whether a run fits without excluding more fillers."""
         if not worker.accepts(run.step, run.name, now_s):
             return False
-        heavy = self._cell.book.heavy_fillers(run.step.image)
-        return heavy <= worker.shut_out(self._cell.book)
+        heavy = self._cell.model.incompatible_fillers(run.step.image)
+        return heavy <= worker.excluded_fillers(self._cell.model)
 
     def _can_interrupt(self, run: runs.Run) -> bool:
         """Return whether the task of a run may be interrupted now.
--- a/wisteriawood/cells/runs.py
+++ b/wisteriawood/cells/runs.py
@@ -16,13 +16,13 @@
     Attributes:
         name: Name of the task on the worker.
         number: Number of the run.
-        is_settled: Whether the worker has answered the last order, so
+        is_answered: Whether the worker has answered the last order, so
             that the run has started or can no longer start.
-        settled_at_s: Monotonic time of that answer.
+        answered_at_s: Monotonic time of that answer.
         is_confirmed: Whether the worker has started the run.
         started_at_s: Monotonic time at which the start was confirmed.
         is_stopping: Whether the run is to be stopped.
-        is_kept: Whether the run stays on its worker however much it is
+        is_pinned: Whether the run stays on its worker however much it is
             slowed, since its job fitted nowhere else.
         was_sent: Whether a start may have been sent to the worker.
         checkpoint: Newest checkpoint that the worker has reported.
@@ -33,18 +33,18 @@
     """
 
     __slots__ = (
+        "answered_at_s",
         "assigned_at_s",
         "checkpoint",
+        "is_answered",
         "is_confirmed",
-        "is_kept",
-        "is_settled",
+        "is_pinned",
         "is_stopping",
         "job",
         "name",
         "number",
         "pace_percent",
         "percent",
-        "settled_at_s",
         "signal",
         "started_at_s",
         "step",
@@ -62,25 +62,25 @@
         self.number = task.run
         self.assigned_at_s = assigned_at_s
         self.started_at_s = 0.0
-        self.is_settled = False
-        self.settled_at_s = 0.0
+        self.is_answered = False
+        self.answered_at_s = 0.0
         self.is_confirmed = False
         self.is_stopping = False
-        self.is_kept = False
+        self.is_pinned = False
         self.was_sent = False
         self.checkpoint = ""
         self.percent = 0.0
         self.signal = 0.0
         self.pace_percent = 100
 
-    def settle(self, now_s: float) -> None:
+    def mark_answered(self, now_s: float) -> None:
         """Record that the worker has answered the last order.
 
         Args:
             now_s: Monotonic time.
         """
-        self.is_settled = True
-        self.settled_at_s = now_s
+        self.is_answered = True
+        self.answered_at_s = now_s
 
     def confirm(self, now_s: float) -> None:
         """Record that the worker has started the run.
@@ -98,6 +98,6 @@
             and self.task.phase is tasks.Phase.ASSIGNED
         )
 
-    def strain(self) -> float:
+    def latency_ratio(self) -> float:
         """Return the tail latency divided by its bound."""
         return self.signal / self.step.tail_target_ms
--- a/wisteriawood/cells/share_histories.py
+++ b/wisteriawood/cells/share_histories.py
@@ -2,7 +2,7 @@
 
 import collections
 
-from wisteriawood.cells import pressure
+from wisteriawood.cells import interference_models
 
 # Time that a reported tail latency covers.
 TAIL_WINDOW_S = 0.55
@@ -18,11 +18,11 @@
     __slots__ = ("_states",)
 
     def __init__(self):
-        self._states: collections.deque[tuple[float, pressure.Shares]] = (
-            collections.deque([(0.0, {})])
-        )
+        self._states: collections.deque[
+            tuple[float, interference_models.Shares]
+        ] = collections.deque([(0.0, {})])
 
-    def note(self, shares: pressure.Shares, now_s: float) -> None:
+    def note(self, shares: interference_models.Shares, now_s: float) -> None:
         """Record a change of the shares.
 
         Args:
@@ -36,7 +36,7 @@
         ):
             self._states.popleft()
 
-    def mean(self, now_s: float) -> pressure.Shares:
+    def mean(self, now_s: float) -> interference_models.Shares:
         """Return the mean shares over the last window, by image.
 
         Args:
--- a/wisteriawood/cells/knowledge.py
+++ b/wisteriawood/cells/weight_exchanges.py
@@ -16,7 +16,7 @@
 EXCHANGE_INTERVAL_S = 3.0
 
 
-class Exchange:
+class WeightExchange:
     """Shares the weights of one cell and merges those of the others.
 
     Args:
@@ -50,7 +50,7 @@
         """
         store = self._cell.store
         service = tables.service_of_cell(self._cell.name)
-        data = msgspec.json.encode(self._cell.book.export())
+        data = msgspec.json.encode(self._cell.model.export_pairs())
         if data != self._last_written:
             at = tables.knowledge_row(self._cell.name)
             await store.commit(stores.Change(writes={at: data}))
@@ -65,7 +65,7 @@
             weights = msgspec.json.decode(
                 row.value or b"", type=dict[str, list[float]]
             )
-            self._cell.book.hear(row.at.key, weights)
+            self._cell.model.import_pairs(row.at.key, weights)
         except (msgspec.DecodeError, ValueError) as exc:
             _LOG.log(
                 job_events.KNOWLEDGE_UNREADABLE,
--- a/wisteriawood/cells/worker_sessions.py
+++ b/wisteriawood/cells/worker_sessions.py
@@ -62,7 +62,7 @@
                 raise tables.CellLostError(
                     f"worker {self._worker.id} has a newer holder"
                 ) from exc
-            except runners.OtherLifeError:
+            except runners.OtherInstanceError:
                 break
             except errors.LinkError as exc:
                 self._handle_no_answer(exc)
@@ -131,7 +131,8 @@
     def _wait_ms(self) -> int:
         worker = self._worker
         is_latency_high = worker.filler_millicores > 0 and any(
-            run.step.tail_target_ms > 0 and run.strain() >= HIGH_LATENCY_RATIO
+            run.step.tail_target_ms > 0
+            and run.latency_ratio() >= HIGH_LATENCY_RATIO
             for run in worker.runs.values()
         )
         return HIGH_LATENCY_WAIT_MS if is_latency_high else RENEW_WAIT_MS
@@ -149,14 +150,14 @@
         for run in list(worker.runs.values()):
             if (
                 run.name not in listed
-                and run.is_settled
-                and run.settled_at_s < sent_at_s
+                and run.is_answered
+                and run.answered_at_s < sent_at_s
             ):
                 self._cell.end_run(worker, run, tasks.Outcome.LAPSED)
-        worker.learn(self._cell.book, now_s)
+        worker.learn(self._cell.model, now_s)
         self._cell.request_placement()
-        if worker.seen > worker.acknowledged:
-            self._uncommitted.append((batches, worker.seen))
+        if worker.last_processed_end > worker.acknowledged:
+            self._uncommitted.append((batches, worker.last_processed_end))
 
     def _process_ended_runs(
         self, report: runners.RunReport
@@ -164,9 +165,9 @@
         worker = self._worker
         batches = []
         for end in report.ended:
-            if end.number <= worker.seen:
+            if end.number <= worker.last_processed_end:
                 continue
-            worker.seen = end.number
+            worker.last_processed_end = end.number
             run = worker.runs.get(end.task_name)
             if run is None or run.number != end.run:
                 continue
@@ -216,7 +217,7 @@
             return
         batches, number = self._uncommitted[0]
         with anyio.move_on_after(COMMIT_WAIT_S):
-            await self._cell.ledger.wait_until_stored(batches)
+            await self._cell.writer.wait_until_stored(batches)
             self._uncommitted.pop(0)
             self._worker.acknowledged = number
             return
@@ -231,7 +232,7 @@
             runs=len(worker.runs),
         )
         self._drop_runs("worker restarted")
-        worker.seen = worker.acknowledged = 0
+        worker.last_processed_end = worker.acknowledged = 0
         self._uncommitted.clear()
         # The new process has seen no token yet. The higher one keeps it
         # from accepting a start that was sent to the former process.
@@ -270,5 +271,5 @@
     """
     for run in adopted:
         run.was_sent = True
-        run.settle(-1.0)
-        worker.take(run)
+        run.mark_answered(-1.0)
+        worker.add_run(run)
--- a/wisteriawood/cells/workers.py
+++ b/wisteriawood/cells/workers.py
@@ -5,11 +5,11 @@
 
 import anyio
 
+from wisteriawood.cells import interference_models
 from wisteriawood.cells import leases
-from wisteriawood.cells import pressure
+from wisteriawood.cells import probations
 from wisteriawood.cells import runs
 from wisteriawood.cells import share_histories
-from wisteriawood.cells import soundness
 from wisteriawood.jobs import specs
 from wisteriawood.links import runners
 
@@ -21,7 +21,7 @@
 # between cover almost the same time.
 LEARN_INTERVAL_S = 0.3
 # How far ahead the baseline loads of serving tasks are projected when a filler
-# is placed beside them; the guard reacts in time to later changes.
+# is placed beside them; the filler pacer reacts in time to later changes.
 LOOKAHEAD_S = 0.3
 # The same for a filler that adds much load: slowing it later is too late.
 HEAVY_LOOKAHEAD_S = 2.5
@@ -45,7 +45,7 @@
     Attributes:
         runs: Runs that may be on the worker, by task name.
         acknowledged: Number of the last reported end that is stored.
-        seen: Number of the last reported end that was processed.
+        last_processed_end: Number of the last reported end that was processed.
         born_unix_ms: Start of the worker's known process, as wall time; 0
             before its first answer.
         answered_at_s: Monotonic time of the last answer; 0 before the first.
@@ -75,6 +75,7 @@
         "free_millicores",
         "is_closed",
         "is_gone",
+        "last_processed_end",
         "lease",
         "link",
         "no_fillers_until_s",
@@ -82,7 +83,6 @@
         "orders_out",
         "registration",
         "runs",
-        "seen",
         "speed",
         "token",
     )
@@ -101,7 +101,7 @@
         self.lease = lease
         self.runs: dict[str, runs.Run] = {}
         self.acknowledged = 0
-        self.seen = 0
+        self.last_processed_end = 0
         self.born_unix_ms = 0
         self.answered_at_s = 0.0
         self.is_gone = False
@@ -113,13 +113,13 @@
         self._serving_millicores = 0
         self._share_history = share_histories.ShareHistory()
         self._learned_at_s = 0.0
-        self._baseline_loads: dict[str, pressure.BaselineLoad] = {}
+        self._baseline_loads: dict[str, interference_models.BaselineLoad] = {}
         self._projected_loads: dict[float, dict[str, float]] = {}
         self.free_millicores = registration.cpu_millicores
         self.free_memory_mb = registration.memory_mb
         self.free_accelerators = registration.accelerators
         self.speed = 1.0
-        self._probation = soundness.ProbationTracker()
+        self._probation = probations.ProbationTracker()
         # Unbounded, since the worker's capacity limits the number of runs.
         self.orders, self.orders_out = anyio.create_memory_object_stream[
             runs.Run
@@ -158,7 +158,7 @@
         self.registration = found
         self.is_gone = False
 
-    def take(self, run: runs.Run) -> None:
+    def add_run(self, run: runs.Run) -> None:
         """Reserve capacity for a run.
 
         Args:
@@ -168,7 +168,7 @@
         self._projected_loads.clear()
         self._adjust_usage(run.step, 1)
 
-    def free(self, run: runs.Run) -> None:
+    def remove_run(self, run: runs.Run) -> None:
         """Release the capacity of a run that is certainly not running.
 
         Args:
@@ -282,7 +282,7 @@
         """Return the worker's CPU in millicores, at least 1."""
         return max(1, self.registration.cpu_millicores)
 
-    def left_over(self) -> float:
+    def unused_millicores(self) -> float:
         """Return the CPU expected to stay unused, in millicores.
 
         Serving tasks use only a part of the CPU they request, on average.
@@ -300,14 +300,19 @@
                 found[run.step.image] = found.get(run.step.image, 0) + 1
         return found
 
-    def shut_out(self, book: pressure.PressureBook) -> frozenset[str]:
+    def excluded_fillers(
+        self, model: interference_models.InterferenceModel
+    ) -> frozenset[str]:
         """Return the filler images that are heavy for a serving task here.
 
         Args:
-            book: Estimates of the load that fillers add.
+            model: Estimates of the load that fillers add.
         """
         return frozenset().union(
-            *(book.heavy_fillers(image) for image in self.serving_images())
+            *(
+                model.incompatible_fillers(image)
+                for image in self.serving_images()
+            )
         )
 
     def share_of(self, run: runs.Run) -> float:
@@ -347,12 +352,14 @@
         self._share_history.note(shares, now_s)
 
     def projected_loads(
-        self, book: pressure.PressureBook, lookahead_s: float = LOOKAHEAD_S
+        self,
+        model: interference_models.InterferenceModel,
+        lookahead_s: float = LOOKAHEAD_S,
     ) -> dict[str, float]:
         """Return the highest load expected within some time, by image.
 
         Args:
-            book: Estimates of the load that fillers add.
+            model: Estimates of the load that fillers add.
             lookahead_s: How far to look ahead, in seconds.
         """
         found = self._projected_loads.get(lookahead_s)
@@ -362,44 +369,48 @@
         for run in self.runs.values():
             if run.step.tail_target_ms > 0:
                 image = run.step.image
-                ahead = book.projected_baseline(
+                ahead = model.projected_baseline(
                     image, self.baseline_load(run), lookahead_s
                 )
                 baselines[image] = max(baselines.get(image, 0.0), ahead)
         shares = self.filler_shares()
         found = {
-            image: load + book.conservative_load(image, shares)
+            image: load + model.conservative_load(image, shares)
             for image, load in baselines.items()
         }
         self._projected_loads[lookahead_s] = found
         return found
 
     def load_with(
-        self, step: specs.StepSpec, book: pressure.PressureBook
+        self,
+        step: specs.StepSpec,
+        model: interference_models.InterferenceModel,
     ) -> float:
         """Return the highest load expected after adding a filler.
 
         Args:
             step: Step of the filler.
-            book: Estimates of the load that fillers add.
+            model: Estimates of the load that fillers add.
 
         Returns:
             Highest load of a serving task; 0 if none here has a tail bound.
         """
         share = step.cpu_millicores / self.capacity_millicores()
         highest = 0.0
-        for image, load in self.projected_loads(book).items():
-            added = book.conservative_weight(image, step.image) * share
+        for image, load in self.projected_loads(model).items():
+            added = model.conservative_weight(image, step.image) * share
             if added >= HEAVY_ADDED_LOAD:
-                load = self.projected_loads(book, HEAVY_LOOKAHEAD_S)[image]
+                load = self.projected_loads(model, HEAVY_LOOKAHEAD_S)[image]
             highest = max(highest, load + added)
         return highest
 
-    def learn(self, book: pressure.PressureBook, now_s: float) -> None:
+    def learn(
+        self, model: interference_models.InterferenceModel, now_s: float
+    ) -> None:
         """Update the estimates from the tails in the newest report.
 
         Args:
-            book: Estimates to update.
+            model: Estimates to update.
             now_s: Monotonic time.
         """
         if now_s - self._learned_at_s < LEARN_INTERVAL_S:
@@ -408,25 +419,27 @@
         self._projected_loads.clear()
         shares = self._share_history.mean(now_s)
         for job_runs in self._runs_with_tail(now_s).values():
-            # Tasks of one job share its callers, so their mean tail ratio
+            # Tasks of one job share its callers, so their mean latency ratio
             # is one measurement.
-            tail_ratio = sum(run.strain() for run in job_runs) / len(job_runs)
-            book.learn(
+            latency_ratio = sum(run.latency_ratio() for run in job_runs) / len(
+                job_runs
+            )
+            model.learn(
                 job_runs[0].step.image,
                 self.baseline_load(job_runs[0]),
                 shares,
-                tail_ratio,
+                latency_ratio,
                 now_s,
             )
 
-    def baseline_load(self, run: runs.Run) -> pressure.BaselineLoad:
+    def baseline_load(self, run: runs.Run) -> interference_models.BaselineLoad:
         """Return the estimate of the load that a task's callers cause.
 
         Args:
             run: A run of the task.
         """
         return self._baseline_loads.setdefault(
-            run.job.id, pressure.BaselineLoad()
+            run.job.id, interference_models.BaselineLoad()
         )
 
     def _runs_with_tail(self, now_s: float) -> dict[str, list[runs.Run]]:
--- a/wisteriawood/links/feeds.py
+++ b/wisteriawood/links/feeds.py
@@ -36,8 +36,8 @@
         after: Version from which to follow; None to read the table first.
 
     Attributes:
-        heard_at_s: Monotonic time of the last answer; 0 before.
-        steady_since_s: Since when answers have come without a break.
+        answered_at_s: Monotonic time of the last answer; 0 before.
+        unbroken_since_s: Since when answers have come without a break.
     """
 
     __slots__ = (
@@ -49,8 +49,8 @@
         "_store",
         "_take",
         "_versions",
-        "heard_at_s",
-        "steady_since_s",
+        "answered_at_s",
+        "unbroken_since_s",
         "table",
     )
 
@@ -74,8 +74,8 @@
             collections.deque()
         )
         self.table = table
-        self.heard_at_s = 0.0
-        self.steady_since_s = 0.0
+        self.answered_at_s = 0.0
+        self.unbroken_since_s = 0.0
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
@@ -96,7 +96,7 @@
                         job_events.FEED_LOST, table=self.table, cause=str(exc)
                     )
                 is_lost = True
-                self.steady_since_s = 0.0
+                self.unbroken_since_s = 0.0
                 await anyio.sleep(delay_s)
                 delay_s = min(2 * delay_s, RETRY_MAX_DELAY_S)
                 continue
@@ -109,7 +109,7 @@
                     await self._hurry.wait()
                 self._hurry = anyio.Event()
 
-    def hurry(self) -> None:
+    def poll_now(self) -> None:
         """End the rest after a call."""
         self._hurry.set()
 
@@ -130,9 +130,9 @@
             page = await self._store.feed(self.table, self._after, wait_s)
             self._take_page(page)
             self._after = page.version
-        self.heard_at_s = anyio.current_time()
-        if not self.steady_since_s:
-            self.steady_since_s = self.heard_at_s
+        self.answered_at_s = anyio.current_time()
+        if not self.unbroken_since_s:
+            self.unbroken_since_s = self.answered_at_s
 
     def _take_page(self, page: stores.Page) -> None:
         newer = [
--- a/wisteriawood/links/runners.py
+++ b/wisteriawood/links/runners.py
@@ -104,7 +104,7 @@
     """The worker has seen a higher fencing token."""
 
 
-class OtherLifeError(errors.LinkError):
+class OtherInstanceError(errors.LinkError):
     """Another life of the worker answers at its address."""
 
 
@@ -153,7 +153,7 @@
 
         Raises:
             FencedError: The worker has seen a higher token.
-            OtherLifeError: Another life of the worker answers.
+            OtherInstanceError: Another life of the worker answers.
         """
 
     async def aclose(self) -> None:
--- a/wisteriawood/machines/intakes.py
+++ b/wisteriawood/machines/intakes.py
@@ -113,7 +113,7 @@
         self, spec: specs.JobSpec, cell: str, outcome: str, began_at_s: float
     ) -> None:
         took_s = anyio.current_time() - began_at_s
-        self._host.counters.handins.labels(outcome=outcome).inc()
+        self._host.counters.submissions.labels(outcome=outcome).inc()
         self._host.counters.accepted_s.observe(took_s)
         _LOG.log(
             job_events.JOB_HANDED_IN,
--- a/wisteriawood/machines/job_hosts.py
+++ b/wisteriawood/machines/job_hosts.py
@@ -48,7 +48,7 @@
         store: The store.
         dial: Opens the link to a worker.
         lease_s: Duration of the workers' leases.
-        keep_s: Time for which the state of an ended job can be queried.
+        retention_s: Time for which the state of an ended job can be queried.
         policy: Name of the spreading policy.
         cores: Processor that the host may use, in cores; 0 if unknown.
 
@@ -65,7 +65,7 @@
         "_fleet",
         "_group",
         "_holders",
-        "_keep_s",
+        "_retention_s",
         "_lease_s",
         "_policy",
         "_scopes",
@@ -90,7 +90,7 @@
         store: stores.Store,
         dial: holders.Dial,
         lease_s: float,
-        keep_s: float,
+        retention_s: float,
         policy: str = spreading_base.DEFAULT,
         cores: float = 0.0,
     ):
@@ -100,7 +100,7 @@
         self.store = store
         self._dial = dial
         self._lease_s = lease_s
-        self._keep_s = keep_s
+        self._retention_s = retention_s
         registry.load_modules(spreading)
         self._policy = spreading_base.POLICIES.get(policy)()
         self.counters = job_metrics.JobMetrics()
@@ -123,7 +123,7 @@
             known_members=self.members, dial=dial, workers_of=self._workers_of
         )
 
-    def use_queues(self, table: queues.QueueTable) -> None:
+    def adopt_queues(self, table: queues.QueueTable) -> None:
         """Adopt a version of the configuration unless it is older.
 
         Args:
@@ -189,8 +189,8 @@
     def is_store_unreachable(self) -> bool:
         """Return whether the store has not answered for some time."""
         feed = self.members.heartbeat_feed
-        lost_s = anyio.current_time() - feed.heard_at_s
-        return not feed.steady_since_s and lost_s > STORE_UNREACHABLE_S
+        lost_s = anyio.current_time() - feed.answered_at_s
+        return not feed.unbroken_since_s and lost_s > STORE_UNREACHABLE_S
 
     def not_ready(self) -> str:
         """Return why the host accepts no connections; empty if it does."""
@@ -199,7 +199,7 @@
         if self.queues is None:
             return "no configuration yet"
         feed = self.members.heartbeat_feed
-        if anyio.current_time() - feed.heard_at_s > READY_ANSWER_AGE_S:
+        if anyio.current_time() - feed.answered_at_s > READY_ANSWER_AGE_S:
             return "the store does not answer"
         return ""
 
@@ -242,7 +242,7 @@
     async def _check_cells_forever(self) -> None:
         while True:
             await anyio.sleep(CELL_CHECK_PERIOD_S)
-            if self.is_draining or not self.members.claim_feed.heard_at_s:
+            if self.is_draining or not self.members.claim_feed.answered_at_s:
                 continue
             self._share_loads()
             for cell in self._all_cells():
@@ -277,7 +277,8 @@
         if not self._holders[cell].is_open:
             return
         stable_s = min(
-            anyio.current_time() - self.members.heartbeat_feed.steady_since_s,
+            anyio.current_time()
+            - self.members.heartbeat_feed.unbroken_since_s,
             self._holders[cell].age_s(),
         )
         if stable_s > RELEASE_DELAY_S and self._group is not None:
@@ -318,7 +319,7 @@
             zones=self.zones,
             dial=self._dial,
             lease_s=self._lease_s,
-            keep_s=self._keep_s,
+            retention_s=self._retention_s,
             former_may_renew=holders.former_may_renew(previous, heartbeats),
         )
         holder.update_fleet(self._workers_of(cell))
--- a/wisteriawood/platform/__main__.py
+++ b/wisteriawood/platform/__main__.py
@@ -67,7 +67,7 @@
             store=self._store,
             dial=_dial,
             lease_s=min(LEASE_S, config.bounds.hold_max_ms / 1000),
-            keep_s=config.bounds.status_s + KEEP_MARGIN_S,
+            retention_s=config.bounds.status_s + KEEP_MARGIN_S,
             cores=config.limits.cpu_share * config.limits.cores,
         )
         self._intake = intakes.Intake(host=self._host)
@@ -87,7 +87,7 @@
                 _LOG.log(job_events.CONFIGURATION_UNREADABLE, cause=str(exc))
                 continue
             self._front.max_body_bytes = max_bytes
-            self._host.use_queues(table)
+            self._host.adopt_queues(table)
             self._read_workers()
 
     def _take_workers(self, rows: list[stores.StoredRow]) -> None:
@@ -177,7 +177,7 @@
                     store=self._store, table=table, take=take, pause_s=pause_s
                 )
                 if table == directory.WORKER_TABLE:
-                    self._host.on_claim = feed.hurry
+                    self._host.on_claim = feed.poll_now
                 group.start_soon(feed.run)
             await self._watch_signals()
             _LOG.log(events.DAEMON_STOPPED, name=self.config.node_name)
--- a/wisteriawood/platform/standins.py
+++ b/wisteriawood/platform/standins.py
@@ -91,11 +91,17 @@
 
     Attributes:
         status: Status of each answer; 0 for what the store says.
-        unanswered: Changes to come whose answer never leaves.
-        late_s: Time after which those take effect.
+        lost_answers: Changes to come whose answer never leaves.
+        lost_answer_delay_s: Time after which those take effect.
     """
 
-    __slots__ = ("_addresses", "_store", "late_s", "status", "unanswered")
+    __slots__ = (
+        "_addresses",
+        "_store",
+        "lost_answer_delay_s",
+        "lost_answers",
+        "status",
+    )
 
     def __init__(
         self,
@@ -106,8 +112,8 @@
         self._store = store
         self._addresses = addresses or {}
         self.status = 0
-        self.unanswered = 0
-        self.late_s = 0.0
+        self.lost_answers = 0
+        self.lost_answer_delay_s = 0.0
 
     async def __call__(self, scope, receive, send) -> None:
         """Answer one call."""
@@ -119,10 +125,10 @@
         if self.status:
             await _send(send, self.status, {})
             return
-        is_lost = scope["path"] == "/v1/rows-tx" and self.unanswered > 0
+        is_lost = scope["path"] == "/v1/rows-tx" and self.lost_answers > 0
         if is_lost:
-            self.unanswered -= 1
-            await anyio.sleep(self.late_s)
+            self.lost_answers -= 1
+            await anyio.sleep(self.lost_answer_delay_s)
         try:
             answer = await self._answer(scope["path"], query, body)
         except WireError as exc:
--- a/wisteriawood/platform/worker_client.py
+++ b/wisteriawood/platform/worker_client.py
@@ -84,7 +84,7 @@
                 f"the worker does not answer: {exc!r}"
             ) from exc
         if response.status_code == 421:
-            raise runners.OtherLifeError("another worker answers here")
+            raise runners.OtherInstanceError("another worker answers here")
         return response
 
     async def _order(self, path: str, body: dict) -> None:
--- a/wisteriawood/policies/spreading/base.py
+++ b/wisteriawood/policies/spreading/base.py
@@ -2,7 +2,7 @@
 
 import typing
 
-from wisteriawood.cells import pressure
+from wisteriawood.cells import interference_models
 from wisteriawood.cells import workers
 from wisteriawood.jobs import specs
 from wisteriawood.policies import registry
@@ -17,14 +17,14 @@
         self,
         candidates: list[workers.Worker],
         step: specs.StepSpec,
-        book: pressure.PressureBook,
+        model: interference_models.InterferenceModel,
     ) -> workers.Worker | None:
         """Return the chosen worker, or None to wait.
 
         Args:
             candidates: Usable workers with enough free capacity, at least one.
             step: Step of the task.
-            book: Model of how fillers slow latency-sensitive tasks.
+            model: Model of how fillers slow latency-sensitive tasks.
         """
 
 
--- a/wisteriawood/policies/spreading/first_fit.py
+++ b/wisteriawood/policies/spreading/first_fit.py
@@ -1,6 +1,6 @@
 """Spreading to the first worker with enough free capacity."""
 
-from wisteriawood.cells import pressure
+from wisteriawood.cells import interference_models
 from wisteriawood.cells import workers
 from wisteriawood.jobs import specs
 from wisteriawood.policies.spreading import base
@@ -16,8 +16,8 @@
         self,
         candidates: list[workers.Worker],
         step: specs.StepSpec,
-        book: pressure.PressureBook,
+        model: interference_models.InterferenceModel,
     ) -> workers.Worker | None:
         """Return the worker with the lowest id."""
-        del step, book
+        del step, model
         return min(candidates, key=lambda worker: worker.id)
--- a/wisteriawood/policies/spreading/least_pressed.py
+++ b/wisteriawood/policies/spreading/least_pressed.py
@@ -1,6 +1,6 @@
 """Spreading to the worker on which runs slow each other least."""
 
-from wisteriawood.cells import pressure
+from wisteriawood.cells import interference_models
 from wisteriawood.cells import workers
 from wisteriawood.jobs import specs
 from wisteriawood.policies.spreading import base
@@ -10,7 +10,7 @@
 # Highest predicted load of latency-sensitive tasks beside which a filler may
 # start. The margin up to the load at their target allows for increases that
 # reports show late.
-MAX_SERVING_LOAD = pressure.BOUND_LOAD - 0.03
+MAX_SERVING_LOAD = interference_models.BOUND_LOAD - 0.03
 # Weight of spare load relative to unused CPU in the choice.
 SPARE_LOAD_WEIGHT = 2.0
 # Spare load above this does not count.
@@ -33,14 +33,14 @@
         self,
         candidates: list[workers.Worker],
         step: specs.StepSpec,
-        book: pressure.PressureBook,
+        model: interference_models.InterferenceModel,
     ) -> workers.Worker | None:
         """Return the worker with the least interference, or None to wait."""
         if step.is_filler:
-            return _choose_for_filler(candidates, step, book)
+            return _choose_for_filler(candidates, step, model)
         if step.tail_target_ms > 0:
             return min(
-                candidates, key=lambda w: _serving_sort_key(w, step, book)
+                candidates, key=lambda w: _serving_sort_key(w, step, model)
             )
         # The tightest fit keeps large amounts free on other workers.
         return min(candidates, key=lambda w: (w.free_millicores, w.id))
@@ -49,15 +49,15 @@
 def _choose_for_filler(
     candidates: list[workers.Worker],
     step: specs.StepSpec,
-    book: pressure.PressureBook,
+    model: interference_models.InterferenceModel,
 ) -> workers.Worker | None:
     best = None
     best_order: tuple = ()
     for worker in candidates:
-        unused = worker.left_over() - step.cpu_millicores
+        unused = worker.unused_millicores() - step.cpu_millicores
         if unused < (MIN_UNUSED_SHARE - 1) * step.cpu_millicores:
             continue
-        spare = MAX_SERVING_LOAD - worker.load_with(step, book)
+        spare = MAX_SERVING_LOAD - worker.load_with(step, model)
         if spare < 0:
             continue
         value = unused / worker.capacity_millicores()
@@ -69,18 +69,22 @@
 
 
 def _serving_sort_key(
-    worker: workers.Worker, step: specs.StepSpec, book: pressure.PressureBook
+    worker: workers.Worker,
+    step: specs.StepSpec,
+    model: interference_models.InterferenceModel,
 ) -> tuple:
     """Return a sort key for workers of a latency-sensitive task.
 
     The first criterion is the CPU in millicores that fillers could no longer
     use if the task were placed there.
     """
-    incompatible = book.heavy_fillers(step.image)
+    incompatible = model.incompatible_fillers(step.image)
     images = worker.serving_images()
-    newly_excluded = len(incompatible - worker.shut_out(book))
+    newly_excluded = len(incompatible - worker.excluded_fillers(model))
     lost_millicores = (
-        newly_excluded / book.filler_count() * max(0.0, worker.left_over())
+        newly_excluded
+        / model.filler_count()
+        * max(0.0, worker.unused_millicores())
     )
     # Incompatible fillers that run there would have to stop.
     lost_millicores += sum(
@@ -90,7 +94,7 @@
     )
     same_image = images.get(step.image, 0)
     is_mixed = bool(images) and not same_image
-    added_load = book.added_load(step.image, worker.filler_shares())
+    added_load = model.added_load(step.image, worker.filler_shares())
     return (
         lost_millicores,
         is_mixed,
--- a/wisteriawood/soak/faults.py
+++ b/wisteriawood/soak/faults.py
@@ -160,13 +160,13 @@
 
 @FAULTS.register("store-loses-answers")
 async def _lose_answers(world: "worlds.SoakWorld", rng: random.Random) -> None:
-    late_s = rng.choice((0.0, 1.0, 3.0))
+    lost_answer_delay_s = rng.choice((0.0, 1.0, 3.0))
     for store in world.stores.values():
-        store.unanswered = rng.randint(1, 4)
-        store.late_s = late_s
+        store.lost_answers = rng.randint(1, 4)
+        store.lost_answer_delay_s = lost_answer_delay_s
     await anyio.sleep(2.0)
     for store in world.stores.values():
-        store.unanswered = 0
+        store.lost_answers = 0
 
 
 @FAULTS.register("store-forgets-history")
--- a/wisteriawood/standins/job_worlds.py
+++ b/wisteriawood/standins/job_worlds.py
@@ -17,7 +17,7 @@
 from wisteriawood.standins import stores
 
 LEASE_S = 6.0
-KEEP_S = 120.0
+RETENTION_S = 120.0
 SERVICE = "shop"
 DEFAULT_WORK_S = 1.0
 
@@ -140,10 +140,10 @@
             store=self.store.link(name),
             dial=_dial,
             lease_s=LEASE_S,
-            keep_s=KEEP_S,
+            retention_s=RETENTION_S,
             cores=cores,
         )
-        host.use_queues(queues.QueueTable(version=1, queues=[self.queue]))
+        host.adopt_queues(queues.QueueTable(version=1, queues=[self.queue]))
         self.hosts[name] = host
         self._scopes[name] = anyio.CancelScope()
         self._group.start_soon(self._run_host, name, host)
--- a/wisteriawood/standins/runners.py
+++ b/wisteriawood/standins/runners.py
@@ -51,8 +51,8 @@
     Attributes:
         starts: All runs that ever began, as (name, number, time).
         ends: All ends, as (name, number, outcome, time).
-        unanswered: Orders to come that are carried out without answer.
-        late_s: Time after which those are carried out.
+        lost_answers: Orders to come that are carried out without answer.
+        lost_answer_delay_s: Time after which those are carried out.
         cut_from: Hosts from which nothing comes through.
     """
 
@@ -69,13 +69,13 @@
         "cut_from",
         "ends",
         "is_dead",
-        "late_s",
+        "lost_answer_delay_s",
+        "lost_answers",
         "registration",
         "runs",
         "starts",
         "tails",
         "token",
-        "unanswered",
     )
 
     def __init__(
@@ -90,8 +90,8 @@
         self._outcome_of = outcome_of
         self.starts: list[tuple[str, int, float]] = []
         self.ends: list[tuple[str, int, str, float]] = []
-        self.unanswered = 0
-        self.late_s = 0.0
+        self.lost_answers = 0
+        self.lost_answer_delay_s = 0.0
         self.cut_from: set[str] = set()
         self.is_dead = False
         self.born_unix_ms = 1000
@@ -144,7 +144,9 @@
         Args:
             act: Carries it out.
         """
-        self._late.append((anyio.current_time() + self.late_s, act))
+        self._late.append(
+            (anyio.current_time() + self.lost_answer_delay_s, act)
+        )
 
     def _carry_out_late(self) -> None:
         now_s = anyio.current_time()
@@ -264,9 +266,9 @@
             await anyio.sleep(TIMEOUT_S)
             raise errors.LinkClosedError("no answer")
         await anyio.sleep(CALL_S)
-        if worker.unanswered <= 0:
+        if worker.lost_answers <= 0:
             return False
-        worker.unanswered -= 1
+        worker.lost_answers -= 1
         return True
 
     async def _answer(self, is_lost: bool) -> None:
--- a/wisteriawood/standins/stores.py
+++ b/wisteriawood/standins/stores.py
@@ -18,7 +18,8 @@
         cut_hosts: Hosts that get no answer.
         lost_answers: Commits to come whose answer is lost.
         lost_table: Only commits on this table lose it; empty for all.
-        late_s: Time after which a commit without answer takes effect.
+        lost_answer_delay_s: Time after which a commit without answer takes
+            effect.
         commits: Commits that took effect.
     """
 
@@ -29,7 +30,7 @@
         "commits",
         "cut_hosts",
         "is_down",
-        "late_s",
+        "lost_answer_delay_s",
         "lost_answers",
         "lost_table",
         "rows",
@@ -43,7 +44,7 @@
         self.cut_hosts: set[str] = set()
         self.lost_answers = 0
         self.lost_table = ""
-        self.late_s = 0.0
+        self.lost_answer_delay_s = 0.0
         self.commits = 0
         self._history: list[stores.StoredRow] = []
         self._history_from = 0
@@ -147,7 +148,7 @@
         await self._arrive(COMMIT_S)
         if store.loses(change):
             store.lost_answers -= 1
-            await anyio.sleep(store.late_s)
+            await anyio.sleep(store.lost_answer_delay_s)
             try:
                 store.apply(change)
             finally:
--- a/wisteriawood/telemetry/job_metrics.py
+++ b/wisteriawood/telemetry/job_metrics.py
@@ -14,7 +14,7 @@
         "calls",
         "cells_held",
         "ends",
-        "handins",
+        "submissions",
         "jobs_ended",
         "lines_left_out",
         "paces",
@@ -26,7 +26,7 @@
 
     def __init__(self):
         self.registry = prometheus_client.CollectorRegistry()
-        self.handins = self._counter(
+        self.submissions = self._counter(
             "handins", "Jobs handed in, by outcome.", "outcome"
         )
         self.ready = self._counter("jobs_opened", "Jobs and occurrences.")
--- a/wisteriawood/tests/admission_tests.py
+++ b/wisteriawood/tests/admission_tests.py
@@ -76,7 +76,9 @@
                 job.spec.accepted_unix_ms = int(cell.now_unix_ms())
                 cell.add_job(job)
             before = loads.report(cell)["backlog"]
-            old.accepted_at_s -= 2 * placers.WORTHLESS_X * old.objective_s + 1
+            old.accepted_at_s -= (
+                2 * placers.EXPIRY_FACTOR * old.objective_s + 1
+            )
             after = loads.report(cell)["backlog"]
             self.assertEqual((before, after), (44000, 4000))
 
@@ -100,7 +102,7 @@
             await anyio.sleep(2)
             world.store.lost_answers = 1
             world.store.lost_table = tables.JOBS
-            world.store.late_s = 3.0
+            world.store.lost_answer_delay_s = 3.0
             async with anyio.create_task_group() as group:
                 group.start_soon(self._submit_unanswered, world)
                 await anyio.sleep(0.5)
--- a/wisteriawood/tests/builders.py
+++ b/wisteriawood/tests/builders.py
@@ -8,8 +8,8 @@
 
 from wisteriawood.cells import cells
 from wisteriawood.cells import claims
+from wisteriawood.cells import interference_models
 from wisteriawood.cells import leases
-from wisteriawood.cells import pressure
 from wisteriawood.cells import runs
 from wisteriawood.cells import workers as run_workers
 from wisteriawood.contracts import grants
@@ -401,27 +401,27 @@
     )
 
 
-def put_run(worker, job, *, index=0, now_s=0.0, strain=0.0):
+def put_run(worker, job, *, index=0, now_s=0.0, latency_ratio=0.0):
     """Put a started run of a job's task on a worker."""
     task = job.occurrences[0][0][index]
     task.assign(worker_id=worker.id, run=task.run + 1)
     run = runs.Run(job=job, task=task, assigned_at_s=now_s)
-    worker.take(run)
+    worker.add_run(run)
     run.was_sent = True
-    run.settle(now_s)
+    run.mark_answered(now_s)
     run.confirm(now_s)
     run.percent = 100
-    run.signal = strain * run.step.tail_target_ms
+    run.signal = latency_ratio * run.step.tail_target_ms
     worker.note_shares(now_s)
     return run
 
 
-def teach(book, serving, weights):
-    """Let a book know the weights of fillers beside a serving image."""
+def set_weights(model, serving, weights):
+    """Set the weights of fillers beside a serving image in a model."""
     told = {f"{serving}|{filler}": [w, 0.01] for filler, w in weights.items()}
-    book.hear("teacher", told)
+    model.import_pairs("teacher", told)
 
 
-def strain_of(load):
-    """Return the strain that a load causes."""
-    return pressure.IDLE_STRAIN / (1.0 - min(load, 0.98))
+def latency_ratio_at(load):
+    """Return the latency ratio at a load."""
+    return interference_models.IDLE_LATENCY_RATIO / (1.0 - min(load, 0.98))
--- a/wisteriawood/tests/cells_tests.py
+++ b/wisteriawood/tests/cells_tests.py
@@ -82,7 +82,7 @@
         async def _check(world):
             await anyio.sleep(2)
             world.store.lost_answers = 3
-            world.store.late_s = 0.2
+            world.store.lost_answer_delay_s = 0.2
             await world.submit(JOB, [_step()])
             await world.wait_for(JOB, jobs.JobState.COMPLETED)
             self.check_single_runs(world)
@@ -270,8 +270,8 @@
             await anyio.sleep(2)
             world.work_s[JOB] = 3.0
             for worker in world.workers.values():
-                worker.unanswered = 2
-                worker.late_s = 4.0
+                worker.lost_answers = 2
+                worker.lost_answer_delay_s = 4.0
             await world.submit(JOB, [_step(task_count=4)])
             await world.wait_for(JOB, jobs.JobState.COMPLETED)
             await anyio.sleep(10)
--- a/wisteriawood/tests/feeds_tests.py
+++ b/wisteriawood/tests/feeds_tests.py
@@ -127,7 +127,7 @@
                 memory.apply(stores.Change(writes={_at("a"): b"1"}))
                 await anyio.sleep(5)
                 self.assertEqual(found, [])
-                feed.hurry()
+                feed.poll_now()
                 await anyio.sleep(1)
                 self.assertEqual(len(found), 1)
                 group.cancel_scope.cancel()
--- a/wisteriawood/tests/guarding_tests.py
+++ b/wisteriawood/tests/guarding_tests.py
@@ -5,8 +5,8 @@
 import anyio
 
 from wisteriawood.cells import balancers
-from wisteriawood.cells import guards
-from wisteriawood.cells import pressure
+from wisteriawood.cells import interference_models
+from wisteriawood.cells import pacers
 from wisteriawood.cells import regrouping
 from wisteriawood.jobs import specs
 from wisteriawood.policies.spreading import least_pressed
@@ -40,18 +40,20 @@
 class GuardTests(CellCase):
     def test_only_the_filler_that_adds_load_is_slowed(self):
         async def _check(cell, fleet, now_s):
-            builders.teach(cell.book, "serves", {"heavy": 1.5, "light": 0.1})
-            load = pressure.BOUND_LOAD - 0.01
+            builders.set_weights(
+                cell.model, "serves", {"heavy": 1.5, "light": 0.1}
+            )
+            load = interference_models.BOUND_LOAD - 0.01
             serving = builders.make_serving_job()
             builders.put_run(
                 fleet[0],
                 serving,
                 now_s=now_s - 9,
-                strain=builders.strain_of(load),
+                latency_ratio=builders.latency_ratio_at(load),
             )
             heavy = builders.put_run(fleet[0], _filler("h"))
             light = builders.put_run(fleet[0], _filler("l", image="light"))
-            guards.Guard(cell=cell).look()
+            pacers.FillerPacer(cell=cell).tick()
             self.assertLess(heavy.pace_percent, 100)
             self.assertEqual(light.pace_percent, 100)
 
@@ -64,33 +66,35 @@
         """
 
         async def _check(cell, fleet, now_s):
-            builders.teach(cell.book, "serves", {"heavy": 3.0})
+            builders.set_weights(cell.model, "serves", {"heavy": 3.0})
             heavy = builders.put_run(fleet[0], _filler("h", task_count=2))
             other = builders.put_run(fleet[0], heavy.job, index=1)
             builders.put_run(
                 fleet[0], builders.make_serving_job(), now_s=now_s
             )
-            guards.Guard(cell=cell).look()
+            pacers.FillerPacer(cell=cell).tick()
             self.assertLess(heavy.pace_percent + other.pace_percent, 200)
 
         self.run_cell(_check)
 
     def test_long_overload_pauses_all_relevant_fillers(self):
         async def _check(cell, fleet, now_s):
-            builders.teach(cell.book, "serves", {"heavy": 1.5, "light": 0.05})
+            builders.set_weights(
+                cell.model, "serves", {"heavy": 1.5, "light": 0.05}
+            )
             builders.put_run(
                 fleet[0],
                 builders.make_serving_job(),
                 now_s=now_s - 9,
-                strain=3.0,
+                latency_ratio=3.0,
             )
-            guard = guards.Guard(cell=cell)
-            guard.look()
-            await anyio.sleep(guards.MAX_OVERLOAD_S + 0.1)
+            pacer = pacers.FillerPacer(cell=cell)
+            pacer.tick()
+            await anyio.sleep(pacers.MAX_OVERLOAD_S + 0.1)
             heavy = builders.put_run(fleet[0], _filler("h"))
             unknown = builders.put_run(fleet[0], _filler("u", image="new"))
             light = builders.put_run(fleet[0], _filler("l", image="light"))
-            guard.look()
+            pacer.tick()
             self.assertEqual(heavy.pace_percent, 0)
             self.assertEqual(unknown.pace_percent, 0)
             self.assertEqual(light.pace_percent, 100)
@@ -100,19 +104,19 @@
 
     def test_slowed_fillers_speed_up_when_load_drops(self):
         async def _check(cell, fleet, now_s):
-            builders.teach(cell.book, "serves", {"heavy": 1.0})
+            builders.set_weights(cell.model, "serves", {"heavy": 1.0})
             run = builders.put_run(
                 fleet[0],
                 builders.make_serving_job(),
                 now_s=now_s - 9,
-                strain=builders.strain_of(0.3),
+                latency_ratio=builders.latency_ratio_at(0.3),
             )
-            fleet[0].learn(cell.book, now_s)
+            fleet[0].learn(cell.model, now_s)
             heavy = builders.put_run(fleet[0], _filler("h"))
             heavy.pace_percent = 50
-            guards.Guard(cell=cell).look()
+            pacers.FillerPacer(cell=cell).tick()
             self.assertGreater(heavy.pace_percent, 50)
-            self.assertLess(run.strain(), 1.0)
+            self.assertLess(run.latency_ratio(), 1.0)
 
         self.run_cell(_check)
 
@@ -126,21 +130,23 @@
 
         async def _check(cell, fleet, now_s):
             policy = least_pressed.LeastPressed()
-            builders.teach(cell.book, "serves", {"heavy": 2.0, "light": 0.1})
+            builders.set_weights(
+                cell.model, "serves", {"heavy": 2.0, "light": 0.1}
+            )
             # Low now, but it may rise by a fifth while a task runs.
             load = 0.5
             builders.put_run(
                 fleet[0],
                 builders.make_serving_job(),
                 now_s=now_s - 9,
-                strain=builders.strain_of(load),
+                latency_ratio=builders.latency_ratio_at(load),
             )
             for number in range(20):
-                fleet[0].learn(cell.book, now_s + number)
+                fleet[0].learn(cell.model, now_s + number)
             heavy, light = _filler("h"), _filler("l", image="light")
             for job, is_placed in ((heavy, False), (light, True)):
                 step = job.spec.steps[0]
-                chosen = policy.choose(fleet, step, cell.book)
+                chosen = policy.choose(fleet, step, cell.model)
                 self.assertEqual(chosen is not None, is_placed)
 
         self.run_cell(_check)
@@ -150,8 +156,8 @@
     """Serving tasks of two images, each with another heavy filler image."""
 
     def _place_mixed(self, cell, fleet, now_s):
-        builders.teach(cell.book, "east", {"e": 1.5, "w": 0.1})
-        builders.teach(cell.book, "west", {"e": 0.1, "w": 1.5})
+        builders.set_weights(cell.model, "east", {"e": 1.5, "w": 0.1})
+        builders.set_weights(cell.model, "west", {"e": 0.1, "w": 1.5})
         east = builders.make_serving_job("east", image="east", task_count=3)
         west = builders.make_serving_job("west", image="west", task_count=2)
         began_s = now_s - 9
@@ -168,7 +174,7 @@
         async def _check(cell, fleet, now_s):
             east, west = self._place_mixed(cell, fleet, now_s)
             regrouper = regrouping.Regrouper(cell=cell)
-            regrouper.look(now_s)
+            regrouper.tick(now_s)
             stopping = [
                 run.name
                 for worker in fleet
@@ -179,7 +185,7 @@
             step = west.spec.steps[0]
             self.assertFalse(fleet[0].allows(step, now_s + 1))
             # No further move until this task has been placed.
-            regrouper.look(now_s + regrouping.MOVE_INTERVAL_S)
+            regrouper.tick(now_s + regrouping.MOVE_INTERVAL_S)
             self.assertEqual(sum(r.is_stopping for r in _runs(fleet)), 1)
             self.assertFalse(east.is_ended())
 
@@ -189,7 +195,7 @@
         async def _check(cell, fleet, now_s):
             _east, west = self._place_mixed(cell, fleet, now_s)
             fleet[1].runs[west.id + ".0.0.1"].percent = 40
-            regrouping.Regrouper(cell=cell).look(now_s)
+            regrouping.Regrouper(cell=cell).tick(now_s)
             self.assertFalse(any(run.is_stopping for run in _runs(fleet)))
 
         self.run_cell(_check, workers=3)
@@ -198,7 +204,7 @@
         async def _check(cell, fleet, now_s):
             self._place_mixed(cell, fleet, now_s)
             cell.cancel_job("wait")
-            regrouping.Regrouper(cell=cell).look(now_s)
+            regrouping.Regrouper(cell=cell).tick(now_s)
             self.assertFalse(any(run.is_stopping for run in _runs(fleet)))
 
         self.run_cell(_check, workers=3)
--- a/wisteriawood/tests/members_tests.py
+++ b/wisteriawood/tests/members_tests.py
@@ -111,7 +111,7 @@
         async def _check(view, write_heartbeat):
             write_heartbeat("before", 1)
             await anyio.sleep(1)
-            view.heartbeat_feed.steady_since_s = 0.0
+            view.heartbeat_feed.unbroken_since_s = 0.0
             self.assertEqual(view.silence_s("other"), 0.0)
 
         self._run(_check)
@@ -128,8 +128,8 @@
             view._store._store.is_down = True
             view.heartbeat_written_at_s -= members.MAX_OWN_HEARTBEAT_AGE_S
             await anyio.sleep(0.1)
-            view.heartbeat_feed.steady_since_s = 0.1
-            view.heartbeat_feed.heard_at_s = anyio.current_time()
+            view.heartbeat_feed.unbroken_since_s = 0.1
+            view.heartbeat_feed.answered_at_s = anyio.current_time()
             self.assertEqual(view.silence_s("other"), 0.0)
             view.heartbeat_written_at_s = anyio.current_time()
             self.assertGreater(view.silence_s("other"), 0.9)
--- a/wisteriawood/tests/placing_tests.py
+++ b/wisteriawood/tests/placing_tests.py
@@ -6,8 +6,8 @@
 
 import anyio
 
+from wisteriawood.cells import interference_models
 from wisteriawood.cells import placers
-from wisteriawood.cells import pressure
 from wisteriawood.cells import progress
 from wisteriawood.cells import share_histories
 from wisteriawood.jobs import queues
@@ -26,12 +26,12 @@
 class PlacingTests(unittest.TestCase):
     def _run(self, check):
         async def _main():
-            book = pressure.PressureBook()
+            model = interference_models.InterferenceModel()
             placer = placers.Placer(
-                policy=least_pressed.LeastPressed(), book=book
+                policy=least_pressed.LeastPressed(), model=model
             )
             fleet = [builders.make_run_worker(f"w{n}") for n in range(3)]
-            await check(placer, book, fleet)
+            await check(placer, model, fleet)
             for worker in fleet:
                 worker.close()
 
@@ -85,7 +85,7 @@
         day trouble-3 --seed 436388994900.
         """
 
-        async def _check(placer, book, fleet):
+        async def _check(placer, model, fleet):
             serving = _job(
                 "s",
                 task_count=3,
@@ -95,9 +95,9 @@
                 image="serves",
             )
             placer.place(_waiting(serving), fleet, 0.0)
-            baseline = pressure.BaselineLoad()
+            baseline = interference_models.BaselineLoad()
             for sample in range(50):
-                book.learn(
+                model.learn(
                     "serves", baseline, {"fills": 0.25}, 4.0, 0.3 * sample
                 )
             filler = _job("f", task_count=4, is_filler=True, image="fills")
@@ -108,9 +108,9 @@
             for worker in fleet:
                 worker.answered_at_s = now_s
             found = placer.place(_waiting(filler), fleet, now_s)
-            self.assertEqual([run.is_kept for _worker, run in found], [True])
+            self.assertEqual([run.is_pinned for _worker, run in found], [True])
             other = _job("o", task_count=1, is_filler=True, image="fills")
-            placer.is_calm = False
+            placer.is_intake_idle = False
             placer.place(_waiting(other), fleet, now_s)
             await anyio.sleep(placers.IDLE_JOB_TIMEOUT_S)
             now_s = anyio.current_time()
@@ -131,10 +131,10 @@
 
         async def _main():
             await anyio.sleep(100)
-            book = pressure.PressureBook()
-            builders.teach(book, "serves", {"fills": 6.0})
+            model = interference_models.InterferenceModel()
+            builders.set_weights(model, "serves", {"fills": 6.0})
             placer = placers.Placer(
-                policy=least_pressed.LeastPressed(), book=book
+                policy=least_pressed.LeastPressed(), model=model
             )
             now_s = anyio.current_time()
             fleet = [
@@ -170,10 +170,10 @@
 
     WEIGHTS = {"light": 0.1, "heavy": 1.3, "gentle": 0.2, "harsh": 1.8}
 
-    def _simulate(self, book, seed, time_s=60.0):
+    def _simulate(self, model, seed, time_s=60.0):
         """Update the model with reports of a worker with random fillers."""
         rng = random.Random(seed)
-        baseline = pressure.BaselineLoad()
+        baseline = interference_models.BaselineLoad()
         shares, now_s = {}, 0.0
         while now_s < time_s:
             now_s += 0.5
@@ -183,57 +183,71 @@
             load = 0.45 + 0.2 * math.sin(now_s / 2 + seed)
             load += sum(self.WEIGHTS[i] * s for i, s in shares.items())
             noise = rng.uniform(0.9, 1.1)
-            book.learn(
+            model.learn(
                 "serves",
                 baseline,
                 shares,
-                noise * builders.strain_of(load),
+                noise * builders.latency_ratio_at(load),
                 now_s,
             )
 
     def test_disruptive_fillers_are_identified(self):
         for seed in range(5):
-            book = pressure.PressureBook()
-            self._simulate(book, seed)
-            self.assertEqual(book.heavy_fillers("serves"), {"heavy", "harsh"})
+            model = interference_models.InterferenceModel()
+            self._simulate(model, seed)
+            self.assertEqual(
+                model.incompatible_fillers("serves"), {"heavy", "harsh"}
+            )
 
     def test_rising_baseline_load_is_not_attributed_to_a_filler(self):
         """A light filler that runs while the load rises must stay light.
 
         On test day quiet-1, such a filler counted as heavy and was held back.
         """
-        book, baseline = pressure.PressureBook(), pressure.BaselineLoad()
+        model, baseline = (
+            interference_models.InterferenceModel(),
+            interference_models.BaselineLoad(),
+        )
         for sample in range(60):
             load = 0.25 + 0.4 * min(1.0, sample / 30)
-            book.learn(
+            model.learn(
                 "serves",
                 baseline,
                 {"light": 0.1},
-                builders.strain_of(load),
+                builders.latency_ratio_at(load),
                 0.3 * sample,
             )
-        self.assertLess(book.weight("serves", "light"), pressure.HEAVY_WEIGHT)
+        self.assertLess(
+            model.weight("serves", "light"), interference_models.HEAVY_WEIGHT
+        )
         self.assertAlmostEqual(baseline.mean, 0.65, delta=0.1)
 
     def test_estimates_of_other_cells_are_combined(self):
-        books = [pressure.PressureBook() for _cell in range(3)]
-        for seed, book in enumerate(books):
-            self._simulate(book, seed, time_s=8.0)
-        combined = pressure.PressureBook()
-        for number, book in enumerate(books):
-            combined.hear(f"cell-{number}", book.export())
+        models = [
+            interference_models.InterferenceModel() for _cell in range(3)
+        ]
+        for seed, model in enumerate(models):
+            self._simulate(model, seed, time_s=8.0)
+        combined = interference_models.InterferenceModel()
+        for number, model in enumerate(models):
+            combined.import_pairs(f"cell-{number}", model.export_pairs())
         for image, weight in self.WEIGHTS.items():
-            worst = max(abs(b.weight("serves", image) - weight) for b in books)
+            worst = max(
+                abs(b.weight("serves", image) - weight) for b in models
+            )
             error = abs(combined.weight("serves", image) - weight)
             self.assertLess(error, max(worst, 0.2))
 
     def test_repeated_estimates_count_once(self):
-        known, other = pressure.PressureBook(), pressure.PressureBook()
+        known, other = (
+            interference_models.InterferenceModel(),
+            interference_models.InterferenceModel(),
+        )
         self._simulate(known, 1, time_s=6.0)
-        other.hear("cell", known.export())
+        other.import_pairs("cell", known.export_pairs())
         once = other.conservative_weight("serves", "heavy")
         for _time in range(5):
-            other.hear("cell", known.export())
+            other.import_pairs("cell", known.export_pairs())
         self.assertEqual(other.conservative_weight("serves", "heavy"), once)
 
 
--- a/wisteriawood/tests/platform_tests.py
+++ b/wisteriawood/tests/platform_tests.py
@@ -177,7 +177,7 @@
     def test_another_life_is_told(self):
         async def _check():
             _worker, client = self._pair(expected="former")
-            with self.assertRaises(runners.OtherLifeError):
+            with self.assertRaises(runners.OtherInstanceError):
                 await self._renew(client)
 
         builders.run_virtual(_check)
@@ -275,7 +275,7 @@
                 )
             ],
         )
-        host.use_queues(table)
+        host.adopt_queues(table)
         front = fronts.Front(host=host, intake=world.intake(name))
         return httpx.AsyncClient(
             transport=httpx.ASGITransport(front), base_url="http://h"
