--- a/wisteriawood/bench/colocations.py
+++ b/wisteriawood/bench/colocations.py
@@ -32,7 +32,7 @@
 RESTART_S = 5.0
 
 
-class DeclaredSizes(sizes.Sizes):
+class DeclaredSizes(sizes.SizeEstimator):
     """Takes what is declared for the truth."""
 
     __slots__ = ()
@@ -168,7 +168,7 @@
             for number in range(site.workers)
         ]
         for worker in self.workers:
-            worker.is_known = True
+            worker.is_connected = True
         self._running: dict[str, Running] = {}
         self._history: dict[str, collections.deque] = {
             worker.name: collections.deque() for worker in self.workers
@@ -330,7 +330,7 @@
             del self._running[running.spec.id]
             self.tally.finished_core_s += running.run_s * running.true.cores
             return
-        if placement.eviction and not running.leaves_s:
+        if placement.eviction_reason and not running.leaves_s:
             running.leaves_s = self.now_s + CHECKPOINT_S
         if running.leaves_s and self.now_s >= running.leaves_s:
             if self._rng.random() >= CHECKPOINT_LOST_SHARE:
--- a/wisteriawood/bench/recovery.py
+++ b/wisteriawood/bench/recovery.py
@@ -125,7 +125,7 @@
         placement
         for rack in scheduler.racks.values()
         for worker in rack.workers.values()
-        if worker.is_known
+        if worker.is_connected
         for placement in worker.placements.values()
     ]
 
--- a/wisteriawood/bench/request_costs.py
+++ b/wisteriawood/bench/request_costs.py
@@ -45,7 +45,7 @@
     request.deadline_s = anyio.current_time() + 1e6
     slots = service.slots()
     held = [await service.acquire(request) for _ in range(slots * 3 // 4)]
-    ending = services.Ending(
+    result = services.AttemptResult(
         verdict=outliers.Verdict.GOOD,
         latency_s=zone_fakes.MEAN_SERVICE_S,
         is_done=True,
@@ -53,7 +53,7 @@
     started_s = time.process_time()
     for number in range(count):
         place = number % len(held)
-        service.release(held[place], request, ending)
+        service.release(held[place], request, result)
         held[place] = await service.acquire(request)
     return (time.process_time() - started_s) / count
 
--- a/wisteriawood/bench/slots.py
+++ b/wisteriawood/bench/slots.py
@@ -12,8 +12,8 @@
 from wisteriawood.machines import entry_hosts
 from wisteriawood.machines import grantors
 from wisteriawood.machines import racks
-from wisteriawood.machines import slot_books
 from wisteriawood.machines import slot_clients
+from wisteriawood.machines import slot_ledgers
 from wisteriawood.machines import targets
 from wisteriawood.standins import platforms
 from wisteriawood.telemetry import metrics
@@ -101,8 +101,8 @@
 def _exchange(
     grantor: grantors.Grantor,
     client: slot_clients.SlotClient,
-    session: slot_clients.Session,
-    holder: slot_books.Holder,
+    session: slot_clients.GrantorSession,
+    holder: slot_ledgers.SlotHolder,
     sequence: int,
 ) -> tuple[float, float, int]:
     """Play one round; return both ends' seconds and all bytes."""
@@ -112,7 +112,7 @@
     reported_s = time.process_time()
     update = cbor.encode(grantor.answer(holder, cbor.decode(report)))
     answered_s = time.process_time()
-    client.adopt(session, cbor.decode(update), now_s)
+    client.apply_update(session, cbor.decode(update), now_s)
     adopted_s = time.process_time()
     entry_s = adopted_s - answered_s + reported_s - started_s
     return entry_s, answered_s - reported_s, len(report) + len(update)
@@ -122,7 +122,7 @@
     grantor, client = await _make_pair(size)
     member = _member("e", holdings.Role.ENTRY)
     holder = grantor.open(member)
-    session = slot_clients.Session(
+    session = slot_clients.GrantorSession(
         grantor=_member("s", holdings.Role.SCHEDULER)
     )
     rounds = [
--- a/wisteriawood/bench/tasks.py
+++ b/wisteriawood/bench/tasks.py
@@ -130,14 +130,14 @@
             capacity=colocations.CAPACITY,
             link=None,
         )
-        worker.is_known = True
+        worker.is_connected = True
         for place in range(TASKS_PER_WORKER):
             spec = _spec(number * TASKS_PER_WORKER + place, rng)
             worker.add(
                 workers.Placement(
                     task=tasks.Task(spec=spec, zone="zone"),
                     version=1,
-                    counted=spec.needs,
+                    allocated=spec.needs,
                     is_committed=True,
                 )
             )
--- a/wisteriawood/bench/zone_fakes.py
+++ b/wisteriawood/bench/zone_fakes.py
@@ -18,7 +18,7 @@
 from wisteriawood.machines import targets
 from wisteriawood.policies.routing import base
 
-TEND_PERIOD_S = 0.1
+TICK_PERIOD_S = 0.1
 WARM_SHARE = 0.25
 ACCURACY = 0.005
 MEAN_SERVICE_S = 0.02
@@ -272,7 +272,9 @@
             for holder, service in enumerate(self.services):
                 in_flight = sum(t.in_flight for t in service.targets.values())
                 now = float(in_flight + service.waiting)
-                kept = slot_clients.DEMAND_KEPT * demand.get(str(holder), 0.0)
+                kept = slot_clients.DEMAND_DECAY_FACTOR * demand.get(
+                    str(holder), 0.0
+                )
                 demand[str(holder)] = max(now, kept)
             self.grant(demand)
             for service in self.services:
@@ -292,12 +294,12 @@
         self.grant({str(h): 1.0 for h in range(len(self.services))})
         self.outcome.last_s = start_s + arrivals[-1].at_s
         self.outcome.warm_s = start_s + WARM_SHARE * arrivals[-1].at_s
-        async with anyio.create_task_group() as keepers:
-            keepers.start_soon(self._tend)
+        async with anyio.create_task_group() as background:
+            background.start_soon(self._tick)
             if self._is_moving:
-                keepers.start_soon(self._move_grants)
+                background.start_soon(self._move_grants)
             if disturb:
-                keepers.start_soon(disturb, self)
+                background.start_soon(disturb, self)
             async with anyio.create_task_group() as callers:
                 for number, arrival in enumerate(arrivals):
                     due_s = start_s + arrival.at_s
@@ -305,7 +307,7 @@
                     callers.start_soon(
                         self._call, number, arrival, due_s + deadline_s
                     )
-            keepers.cancel_scope.cancel()
+            background.cancel_scope.cancel()
         return self.outcome
 
     async def _call(
@@ -332,11 +334,11 @@
         self.outcome.good += self.outcome.warm_s < now_s <= self.outcome.last_s
         self.outcome.sketch.add(now_s - came_s)
 
-    async def _tend(self) -> None:
+    async def _tick(self) -> None:
         while True:
-            await anyio.sleep(TEND_PERIOD_S)
+            await anyio.sleep(TICK_PERIOD_S)
             now_s = anyio.current_time()
             for service in self.services:
                 for target in service.targets.values():
                     target.end_quarantines(now_s=now_s)
-                service.tend()
+                service.tick()
--- a/wisteriawood/commands/explain.py
+++ b/wisteriawood/commands/explain.py
@@ -161,7 +161,7 @@
         if member.zone != task.zone or not member.operator_address:
             continue
         try:
-            reason = await operators.ask_why(
+            reason = await operators.ask_waiting_reason(
                 address=member.operator_address, task=task.spec.id
             )
         except errors.LinkError:
--- a/wisteriawood/config/configuration.py
+++ b/wisteriawood/config/configuration.py
@@ -217,7 +217,7 @@
                 for team in self.teams.values()
                 for service in team.services.values()
             ),
-            default=requests.LONGEST_REQUEST_S,
+            default=requests.MAX_REQUEST_S,
         )
 
     def service(self, team: str, name: str) -> Service | None:
--- a/wisteriawood/contracts/keys.py
+++ b/wisteriawood/contracts/keys.py
@@ -38,7 +38,7 @@
     return f"{PENDING}{zone}/{task}"
 
 
-def pendings(zone: str) -> str:
+def pending_in_zone(zone: str) -> str:
     """Return the prefix of the rows of tasks that wait in a zone."""
     return f"{PENDING}{zone}/"
 
@@ -48,7 +48,7 @@
     return f"{PLACED}{zone}/{rack_name}/{task}"
 
 
-def placeds(zone: str, rack_name: str) -> str:
+def placed_on_rack(zone: str, rack_name: str) -> str:
     """Return the prefix of the rows of tasks on workers of a rack."""
     return f"{PLACED}{zone}/{rack_name}/"
 
@@ -73,7 +73,7 @@
     return f"once/{team}/{key}"
 
 
-def run_onces() -> str:
+def run_once_records() -> str:
     """Return the prefix of the records of run-once requests."""
     return "once/"
 
--- a/wisteriawood/contracts/requests.py
+++ b/wisteriawood/contracts/requests.py
@@ -5,7 +5,7 @@
 import math
 
 # Upper bound of the deadlines that callers may set.
-LONGEST_REQUEST_S = 60.0
+MAX_REQUEST_S = 60.0
 
 
 class RequestClass(enum.StrEnum):
--- a/wisteriawood/contracts/terms.py
+++ b/wisteriawood/contracts/terms.py
@@ -14,7 +14,7 @@
 # Allowance for clocks that run at different rates.
 DRIFT_MARGIN_S = 0.5
 # Longest time for which a command to a worker may be in transit.
-COMMAND_LIFE_S = 4.0
+COMMAND_VALIDITY_S = 4.0
 
 
 class Term:
--- a/wisteriawood/links/callers.py
+++ b/wisteriawood/links/callers.py
@@ -66,7 +66,7 @@
             "above 0",
             status=400,
         )
-    return min(int(text) / 1000.0, requests.LONGEST_REQUEST_S)
+    return min(int(text) / 1000.0, requests.MAX_REQUEST_S)
 
 
 def _read_class(
--- a/wisteriawood/links/operators.py
+++ b/wisteriawood/links/operators.py
@@ -31,7 +31,7 @@
     reason: str
 
 
-async def ask_why(*, address: str, task: str) -> str:
+async def ask_waiting_reason(*, address: str, task: str) -> str:
     """Ask a scheduler why a task waits.
 
     Args:
--- a/wisteriawood/machines/allocators.py
+++ b/wisteriawood/machines/allocators.py
@@ -10,8 +10,8 @@
 from wisteriawood.machines import evictions
 from wisteriawood.machines import indexes
 from wisteriawood.machines import probations
-from wisteriawood.machines import probes
 from wisteriawood.machines import queues
+from wisteriawood.machines import slow_starts
 from wisteriawood.machines import workers
 from wisteriawood.policies import eviction as eviction_policies
 from wisteriawood.policies.eviction import base as eviction_base
@@ -77,7 +77,7 @@
         share: Share of its resources that the task starts with, 0 to 1.
     """
 
-    entry: indexes.Entry
+    entry: indexes.IndexEntry
     share: float
 
 
@@ -101,10 +101,10 @@
         "index",
         "placement",
         "probations",
-        "probes",
         "queue",
         "quotas",
         "sizes",
+        "slow_starts",
         "zone_capacity",
     )
 
@@ -116,7 +116,7 @@
         eviction: str = eviction_base.DEFAULT,
         team_quotas: quotas.Quotas | None = None,
         estimates: interference.Estimates | None = None,
-        learned: sizes.Sizes | None = None,
+        learned: sizes.SizeEstimator | None = None,
     ):
         registry.load_modules(placement_policies)
         registry.load_modules(eviction_policies)
@@ -124,10 +124,10 @@
         if estimates is None:
             estimates = interference.PairEstimates()
         self.estimates = estimates
-        self.sizes = sizes.Sizes() if learned is None else learned
-        self.probes = probes.Probes(learned=self.sizes)
+        self.sizes = sizes.SizeEstimator() if learned is None else learned
+        self.slow_starts = slow_starts.SlowStart(learned=self.sizes)
         self.index = indexes.WorkerIndex(rng=rng)
-        self.queue = queues.Queue()
+        self.queue = queues.PendingQueue()
         self.probations = probations.Probations()
         self.placement = placement_base.PLACEMENT.get(placement)(
             rng=rng, estimates=self.estimates, team_quotas=self.quotas
@@ -197,7 +197,7 @@
             placed: Ids of the tasks that are on workers.
         """
         self.evictions.keep_only(placed)
-        self.probes.keep_only(placed)
+        self.slow_starts.keep_only(placed)
 
     def predict_needs(self, spec: tasks.TaskSpec) -> resources.Resources:
         """Return the resources to allocate for a task.
@@ -211,7 +211,7 @@
         return self.index.team_share(team) / self.quotas.of(team).weight
 
     def _try_to_start(
-        self, waiting: queues.WaitingTask, starts: list[Start], now_s: float
+        self, waiting: queues.PendingTask, starts: list[Start], now_s: float
     ) -> bool:
         spec = waiting.task.spec
         if now_s - waiting.since_s < waiting.min_wait_s:
@@ -222,7 +222,7 @@
             waiting.lacks_capacity = False
             waiting.reason = f"team {spec.team} is at the limit of its quota"
             return False
-        if not self.probes.may_start(spec, now_s=now_s):
+        if not self.slow_starts.may_start(spec, now_s=now_s):
             waiting.lacks_capacity = False
             waiting.reason = "the first tasks of its class are being measured"
             return False
@@ -256,7 +256,7 @@
 
     def _find_worker(
         self,
-        waiting: queues.WaitingTask,
+        waiting: queues.PendingTask,
         needs: resources.Resources,
         now_s: float,
     ) -> WorkerChoice | None:
@@ -277,14 +277,14 @@
         request = placement_base.Request(
             spec=spec,
             needs=needs,
-            among=None if reserved is None else [reserved],
+            candidates=None if reserved is None else [reserved],
             avoid=self._workers_to_avoid(waiting),
             now_s=now_s,
             waited_s=now_s - waiting.since_s,
         )
         try:
             return self._choose_worker(request)
-        except placement_base.NoRoomError as exc:
+        except placement_base.InsufficientCapacityError as exc:
             waiting.lacks_capacity = True
             self._cache_failure(
                 "", PlacementFailure(needs=needs, reason=str(exc))
@@ -309,7 +309,7 @@
             entry = self.placement.choose(request, self.index)
         return WorkerChoice(entry=entry, share=request.share)
 
-    def _workers_to_avoid(self, waiting: queues.WaitingTask) -> set[str]:
+    def _workers_to_avoid(self, waiting: queues.PendingTask) -> set[str]:
         task = waiting.task
         avoided = self.probations.failed_workers(task.spec.id)
         avoided = avoided.union(task.failures)
@@ -319,15 +319,15 @@
         return avoided
 
     def _reserved_entry(
-        self, waiting: queues.WaitingTask, now_s: float
-    ) -> indexes.Entry | None:
+        self, waiting: queues.PendingTask, now_s: float
+    ) -> indexes.IndexEntry | None:
         if not waiting.reserved_worker:
             return None
         entry = self.index.entries.get(waiting.reserved_worker)
         is_valid = (
             entry is not None
             and entry.reserved_for == waiting.task.spec.id
-            and entry.worker.is_known
+            and entry.worker.is_connected
             and not entry.worker.leaving
             and now_s - waiting.reserved_at_s < RESERVATION_TIMEOUT_S
         )
@@ -336,7 +336,7 @@
         self._release_reservation(waiting)
         return None
 
-    def _release_reservation(self, waiting: queues.WaitingTask) -> None:
+    def _release_reservation(self, waiting: queues.PendingTask) -> None:
         entry = self.index.entries.get(waiting.reserved_worker)
         if entry is not None and entry.reserved_for == waiting.task.spec.id:
             self.index.reserve(waiting.reserved_worker, "")
@@ -358,7 +358,7 @@
 
     def _start(
         self,
-        waiting: queues.WaitingTask,
+        waiting: queues.PendingTask,
         choice: WorkerChoice,
         needs: resources.Resources,
         starts: list[Start],
@@ -371,19 +371,19 @@
         placement = workers.Placement(
             task=waiting.task,
             version=waiting.version,
-            counted=needs,
+            allocated=needs,
             throttle=choice.share,
         )
         if entry.worker.add(placement) is False:
             # The worker still has resources allocated to an earlier attempt.
             return
-        self.probes.start(placement.task.spec, now_s=now_s)
+        self.slow_starts.start(placement.task.spec, now_s=now_s)
         self.evictions.record_start(waiting.task.spec.id, now_s=now_s)
         self.index.update(entry.worker, now_s=now_s)
         starts.append(Start(worker=entry.worker, placement=placement))
 
     def _reclaim_or_reserve(
-        self, waiting: queues.WaitingTask, now_s: float
+        self, waiting: queues.PendingTask, now_s: float
     ) -> None:
         """Evict for, or reserve a worker for, a task that waits too long."""
         waited_s = now_s - waiting.since_s
@@ -406,7 +406,7 @@
         total = sum(self.quotas.of(name).weight for name in teams)
         return self.quotas.of(team).weight / total
 
-    def _is_within_fair_share(self, waiting: queues.WaitingTask) -> bool:
+    def _is_within_fair_share(self, waiting: queues.PendingTask) -> bool:
         spec = waiting.task.spec
         added = indexes.dominant_share(
             self.predict_needs(spec), self.index.capacity
@@ -417,7 +417,7 @@
     def _is_over_share(self, team: str) -> bool:
         return self.index.team_share(team) > self._fair_share(team)
 
-    def _evict_for(self, waiting: queues.WaitingTask, now_s: float) -> bool:
+    def _evict_for(self, waiting: queues.PendingTask, now_s: float) -> bool:
         if waiting.reserved_worker:
             return True
         if now_s - waiting.since_s < 2 * waiting.min_wait_s:
@@ -440,7 +440,10 @@
         return True
 
     def _reserve(
-        self, waiting: queues.WaitingTask, entry: indexes.Entry, now_s: float
+        self,
+        waiting: queues.PendingTask,
+        entry: indexes.IndexEntry,
+        now_s: float,
     ) -> None:
         waiting.reserved_worker = entry.worker.name
         waiting.reserved_at_s = now_s
@@ -455,7 +458,7 @@
         )
 
     def _reserve_worker(
-        self, waiting: queues.WaitingTask, now_s: float
+        self, waiting: queues.PendingTask, now_s: float
     ) -> None:
         needs = self.predict_needs(waiting.task.spec)
         entry = self.evictions.find_worker_to_reserve(needs)
--- a/wisteriawood/machines/announcements.py
+++ b/wisteriawood/machines/announcements.py
@@ -16,7 +16,7 @@
     10.0,
     20.0,
     30.0,
-    requests.LONGEST_REQUEST_S,
+    requests.MAX_REQUEST_S,
 )
 ANNOUNCE_TIMEOUT_S = 1.0
 # Time that a request may take between its start here and the target,
@@ -37,7 +37,7 @@
     )
 
 
-class Announcement:
+class RequestTimeAnnouncement:
     """The longest time that requests may take, announced in the member row.
 
     Once this process has died, a grantor counts its slots as held for that
@@ -62,7 +62,7 @@
         self._members = members
         self._get_longest_deadline_s = get_longest_deadline_s
         self._required_until_s: dict[float, float] = {}
-        members.own.longest_s = requests.LONGEST_REQUEST_S
+        members.own.longest_s = requests.MAX_REQUEST_S
 
     def max_request_s(self) -> float:
         """Return the longest time that a request may take, in seconds."""
@@ -78,7 +78,7 @@
         Args:
             left_s: Seconds until the request's deadline.
         """
-        left_s = min(left_s, requests.LONGEST_REQUEST_S)
+        left_s = min(left_s, requests.MAX_REQUEST_S)
         if left_s > self.max_request_s():
             self._require(left_s)
             self.review()
@@ -104,8 +104,8 @@
 
     def record_overrun(self) -> None:
         """Record that a target works on a request past its deadline."""
-        self._required_until_s[requests.LONGEST_REQUEST_S] = max(
-            self._required_until_s.get(requests.LONGEST_REQUEST_S, 0.0),
+        self._required_until_s[requests.MAX_REQUEST_S] = max(
+            self._required_until_s.get(requests.MAX_REQUEST_S, 0.0),
             anyio.current_time() + terms.DRIFT_MARGIN_S,
         )
 
--- a/wisteriawood/machines/cancels.py
+++ b/wisteriawood/machines/cancellations.py
@@ -70,7 +70,7 @@
         pending = {
             row.key: row
             for row in await platforms.scan_all(
-                scheduler.platform, keys.pendings(scheduler.zone)
+                scheduler.platform, keys.pending_in_zone(scheduler.zone)
             )
         }
         for row in left:
--- a/wisteriawood/machines/dispatchers.py
+++ b/wisteriawood/machines/dispatchers.py
@@ -119,26 +119,26 @@
     ) -> requests.Answer:
         sent_s = anyio.current_time()
         timeout_s = service.attempt_timeout_s(target, request)
-        ending = services.Ending(until_s=sent_s + timeout_s)
+        result = services.AttemptResult(until_s=sent_s + timeout_s)
         try:
             answer = await self._send(service, target, request, timeout_s)
-            ending.is_done = True
-            ending.verdict = outliers.Verdict.FAILED
+            result.is_done = True
+            result.verdict = outliers.Verdict.FAILED
             if answer.status < 500:
-                ending.latency_s = anyio.current_time() - sent_s
-                ending.verdict = outliers.Verdict.GOOD
-                service.retrying.succeeded()
+                result.latency_s = anyio.current_time() - sent_s
+                result.verdict = outliers.Verdict.GOOD
+                service.retrying.record_success()
         except errors.RequestNotRunError as exc:
-            ending.is_done = True
+            result.is_done = True
             if exc.http_status >= 500:
-                ending.verdict = outliers.Verdict.FAILED
+                result.verdict = outliers.Verdict.FAILED
             raise
         except errors.RequestUnknownError:
             waited_s = anyio.current_time() - sent_s
-            ending.verdict = _timeout_verdict(service, waited_s, timeout_s)
+            result.verdict = _timeout_verdict(service, waited_s, timeout_s)
             raise
         finally:
-            service.release(target, request, ending)
+            service.release(target, request, result)
         answer.target = target.id
         return answer
 
@@ -184,4 +184,4 @@
         return outliers.Verdict.FAILED
     if waited_s > FAILURE_P99_FACTOR * service.times.p99_s:
         return outliers.Verdict.FAILED
-    return outliers.Verdict.UNTOLD
+    return outliers.Verdict.INCONCLUSIVE
--- a/wisteriawood/machines/entry_hosts.py
+++ b/wisteriawood/machines/entry_hosts.py
@@ -13,10 +13,10 @@
 from wisteriawood.links import platforms
 from wisteriawood.links import targets as target_links
 from wisteriawood.machines import dispatchers
+from wisteriawood.machines import request_queues
 from wisteriawood.machines import run_once
 from wisteriawood.machines import services
 from wisteriawood.machines import slot_clients
-from wisteriawood.machines import waiting_rooms
 from wisteriawood.policies import registry
 from wisteriawood.policies import routing
 from wisteriawood.policies.routing import base
@@ -51,17 +51,17 @@
 
     __slots__ = (
         "_dispatcher",
-        "_policy",
-        "_run_once",
         "_open_requests",
+        "_policy",
         "_rng",
+        "_run_once",
         "configuration",
         "counters",
         "drains",
         "is_draining",
         "membership",
         "peering",
-        "room",
+        "queue_pool",
         "services",
         "slot_client",
         "stopped",
@@ -111,7 +111,7 @@
         self._policy = policy
         self._open_requests = 0
         self._rng = rng
-        self.room = waiting_rooms.WaitingRoom()
+        self.queue_pool = request_queues.RequestQueuePool()
 
     def _join_peers(
         self,
@@ -134,14 +134,14 @@
             name=self.membership.own.name,
         )
 
-    def not_ready(self) -> str:
+    def unready_reason(self) -> str:
         """Return why the entry host is not ready; empty if it is."""
         if self.is_draining:
             return "draining"
         if self.drains.is_ordered(self.membership.own.name):
             return "draining: requested by an operator"
-        if self.configuration.not_ready():
-            return self.configuration.not_ready()
+        if self.configuration.unready_reason():
+            return self.configuration.unready_reason()
         if not self.targets:
             return "no target has granted slots yet"
         return ""
@@ -163,7 +163,7 @@
             await self.stopping.wait()
             await self._finish_requests()
             is_released = await self.slot_client.release()
-            await self._run_once.settle()
+            await self._run_once.wait_until_stored()
             group.cancel_scope.cancel()
         if is_released:
             await self._publish_gone()
@@ -176,7 +176,7 @@
                 name: team.quota
                 for name, team in self.configuration.current.teams.items()
             }
-            self.room.set_quotas(
+            self.queue_pool.set_quotas(
                 weights={name: quota.share for name, quota in quotas.items()},
                 limits={
                     name: quota.requests_in_flight
@@ -195,12 +195,12 @@
         while True:
             await anyio.sleep(TICK_PERIOD_S)
             for service in self.services.values():
-                service.tend()
+                service.tick()
             self._set_gauges()
 
     def _set_gauges(self) -> None:
         held = self.targets.values()
-        self.counters.waiting.set(self.room.usage.waiting)
+        self.counters.waiting.set(self.queue_pool.usage.waiting)
         self.counters.in_flight.set(sum(t.in_flight for t in held))
         self.counters.slots_held.set(sum(t.grant.slots for t in held))
 
@@ -215,8 +215,8 @@
 
     def _longest_deadline_s(self) -> float:
         """Return the longest deadline that the configuration gives."""
-        if self.configuration.not_ready():
-            return requests.LONGEST_REQUEST_S
+        if self.configuration.unready_reason():
+            return requests.MAX_REQUEST_S
         return self.configuration.current.longest_deadline_s()
 
     def _store_late_answer(
@@ -234,7 +234,7 @@
                 team=team,
                 name=name,
                 policy=policy,
-                room=self.room,
+                queue_pool=self.queue_pool,
                 rng=self._rng,
             )
             self.services[team, name] = service
@@ -302,7 +302,7 @@
         """Return the status that operators see."""
         return {
             "member": self.membership.own,
-            "ready": self.not_ready() or "ready",
+            "ready": self.unready_reason() or "ready",
             "config_version": self.configuration.version,
             "targets": [target.holding() for target in self.targets.values()],
         }
--- a/wisteriawood/machines/evictions.py
+++ b/wisteriawood/machines/evictions.py
@@ -30,7 +30,7 @@
         cost: Total cost of the evictions, according to the policy.
     """
 
-    entry: indexes.Entry
+    entry: indexes.IndexEntry
     victims: list[base.Victim]
     cost: float
 
@@ -99,7 +99,7 @@
         return task in self._ordered_s
 
     def victims(
-        self, entry: indexes.Entry, *, now_s: float
+        self, entry: indexes.IndexEntry, *, now_s: float
     ) -> list[base.Victim]:
         """Return the batch jobs of a worker that may be evicted.
 
@@ -115,7 +115,7 @@
             spec = placement.task.spec
             if spec.kind != tasks.TaskKind.BATCH or spec.urgent:
                 continue
-            if task_id in self._ordered_s or placement.eviction:
+            if task_id in self._ordered_s or placement.eviction_reason:
                 continue
             if spec.task_class in self._quotas.of(spec.team).not_evicted:
                 continue
@@ -124,11 +124,11 @@
                 base.Victim(
                     spec=spec,
                     worker=entry.worker.name,
-                    counted=placement.counted,
+                    allocated=placement.allocated,
                     elapsed_s=now_s - started_s,
                 )
             )
-        return base.in_order(self._policy, evictable)
+        return base.eviction_order(self._policy, evictable)
 
     def plan(
         self,
@@ -166,7 +166,7 @@
 
     def _cheapest(
         self,
-        entry: indexes.Entry,
+        entry: indexes.IndexEntry,
         victims: list[base.Victim],
         needs: resources.Resources,
         over_share: typing.Callable[[str], bool],
@@ -177,14 +177,14 @@
             if needs.fits(free):
                 break
             chosen.append(victim)
-            free = free + victim.counted
+            free = free + victim.allocated
         if not needs.fits(free):
             return None
         # A later, larger victim can make an earlier one unnecessary.
         for victim in list(chosen):
-            if needs.fits(free - victim.counted):
+            if needs.fits(free - victim.allocated):
                 chosen.remove(victim)
-                free = free - victim.counted
+                free = free - victim.allocated
         cost = 0.0
         for victim in chosen:
             factor = (
@@ -208,7 +208,7 @@
 
     def evict_one(
         self,
-        entry: indexes.Entry,
+        entry: indexes.IndexEntry,
         *,
         harms: dict[str, float],
         reason: str,
@@ -245,7 +245,7 @@
 
     def find_worker_to_reserve(
         self, needs: resources.Resources
-    ) -> indexes.Entry | None:
+    ) -> indexes.IndexEntry | None:
         """Return a worker on which a task fits once the batch jobs end.
 
         Of a sample of workers, the one with the most free cores is chosen;
@@ -260,7 +260,7 @@
             free = worker.free
             for placement in worker.placements.values():
                 if placement.task.spec.kind == tasks.TaskKind.BATCH:
-                    free = free + placement.counted
+                    free = free + placement.allocated
             if not needs.fits(free):
                 continue
             if worker.free.cores > most:
--- a/wisteriawood/machines/grantors.py
+++ b/wisteriawood/machines/grantors.py
@@ -13,7 +13,7 @@
 from wisteriawood.machines import quarantines
 from wisteriawood.machines import racks
 from wisteriawood.machines import shares
-from wisteriawood.machines import slot_books
+from wisteriawood.machines import slot_ledgers
 from wisteriawood.machines import targets
 from wisteriawood.telemetry import events
 from wisteriawood.zones import membership
@@ -22,7 +22,7 @@
 REVIEW_PERIOD_S = 0.25
 # An entry host that has sent nothing for this long is probed.
 PROBE_ENTRY_HOST_AFTER_S = 1.5
-TAKE_BACK_S = terms.SLOT_TERM_S + terms.DRIFT_MARGIN_S
+RECLAIM_SLOTS_AFTER_S = terms.SLOT_TERM_S + terms.DRIFT_MARGIN_S
 
 _LOG = events.Logger(name=__name__)
 
@@ -47,8 +47,8 @@
         "_probes",
         "_quarantines",
         "_stopping",
-        "books",
         "holders",
+        "ledgers",
     )
 
     def __init__(
@@ -68,11 +68,11 @@
         self._probes = probes.Prober(
             dial_peer=dial_peer,
             suspects=self._suspects,
-            see_dead=self.see_dead,
+            on_dead=self.mark_dead,
         )
         self._quarantines = quarantines.Quarantines(members=members)
-        self.books: dict[str, slot_books.SlotBook] = {}
-        self.holders: dict[str, slot_books.Holder] = {}
+        self.ledgers: dict[str, slot_ledgers.SlotLedger] = {}
+        self.holders: dict[str, slot_ledgers.SlotHolder] = {}
 
     async def run(self) -> None:
         """Reclaim the slots of unresponsive entry hosts until cancelled."""
@@ -87,9 +87,9 @@
         now_s = anyio.current_time()
         unanswered = {
             incarnation
-            for book in self.books.values()
-            if now_s - book.claimed_s > PROBE_ENTRY_HOST_AFTER_S
-            for incarnation in book.unanswered_until_s or ()
+            for ledger in self.ledgers.values()
+            if now_s - ledger.claimed_s > PROBE_ENTRY_HOST_AFTER_S
+            for incarnation in ledger.unanswered_until_s or ()
             if not self._quarantines.is_dead(incarnation)
         }
         found = {
@@ -103,77 +103,82 @@
         return list(found.values())
 
     def review(self) -> None:
-        """Update the books for changed racks, members and expired times."""
+        """Update the ledgers for changed racks, members and expired times."""
         now_s = anyio.current_time()
         self._sync_books(now_s)
         for holder in list(self.holders.values()):
-            if self._may_take_back(holder, now_s):
+            if self._may_reclaim_slots(holder, now_s):
                 self._reclaim_slots(holder, now_s)
-        for book in self.books.values():
-            if book.unanswered_until_s is None:
-                self._list_unanswered(book, now_s)
+        for ledger in self.ledgers.values():
+            if ledger.unanswered_until_s is None:
+                self._list_unanswered(ledger, now_s)
         self._read_members(now_s)
         for quarantine in self._quarantines.review(now_s=now_s):
             self._quarantine(quarantine)
-        for book in self.books.values():
-            book.review(now_s=now_s)
+        for ledger in self.ledgers.values():
+            ledger.review(now_s=now_s)
 
     def _sync_books(self, now_s: float) -> None:
         for name, rack in self._held_racks.items():
-            book = self.books.get(name)
-            if book is None or book.claim.epoch != rack.holding.epoch:
+            ledger = self.ledgers.get(name)
+            if ledger is None or ledger.claim.epoch != rack.holding.epoch:
                 claim = grants.RackClaim(rack=name, epoch=rack.holding.epoch)
-                self.books[name] = slot_books.SlotBook(
+                self.ledgers[name] = slot_ledgers.SlotLedger(
                     claim=claim, now_s=now_s
                 )
-        for name in set(self.books) - set(self._held_racks):
-            del self.books[name]
+        for name in set(self.ledgers) - set(self._held_racks):
+            del self.ledgers[name]
 
     def _list_unanswered(
-        self, book: slot_books.SlotBook, now_s: float
+        self, ledger: slot_ledgers.SlotLedger, now_s: float
     ) -> None:
         """Record which entry hosts may hold slots that were granted before.
 
         The members must have been read after the rack was claimed.
         """
-        if not self._members.watched_since(book.claimed_s):
+        if not self._members.watched_since(ledger.claimed_s):
             return
         until_s = (
             now_s
             + terms.HORIZON_S
             + terms.DRIFT_MARGIN_S
-            + requests.LONGEST_REQUEST_S
+            + requests.MAX_REQUEST_S
         )
-        book.unanswered_until_s = {
-            sighting.member.incarnation: until_s
-            for (role, _name), sighting in self._members.sightings.items()
+        ledger.unanswered_until_s = {
+            observed.member.incarnation: until_s
+            for (role, _), observed in self._members.observed_members.items()
             if role == holdings.Role.ENTRY
-            and sighting.member.zone == self._members.own.zone
-            and sighting.member.state != holdings.HostState.GONE
-            and sighting.member.incarnation not in book.answered
+            and observed.member.zone == self._members.own.zone
+            and observed.member.state != holdings.HostState.GONE
+            and observed.member.incarnation not in ledger.answered
         }
 
     def _read_members(self, now_s: float) -> None:
-        for (role, name), sighting in self._members.sightings.items():
-            member = sighting.member
+        for (role, name), observed in self._members.observed_members.items():
+            member = observed.member
             if role != holdings.Role.ENTRY:
                 continue
             before = self._entry_members.get(name)
             self._entry_members[name] = member
             if before is not None and member.replaces(before):
-                self.see_dead(before)
+                self.mark_dead(before)
             if member.state == holdings.HostState.GONE:
                 # It returned all its slots before it stopped.
-                for book in self.books.values():
-                    book.quarantine(
+                for ledger in self.ledgers.values():
+                    ledger.quarantine(
                         member.incarnation, until_s=now_s, is_dead=True
                     )
 
-    def _may_take_back(self, holder: slot_books.Holder, now_s: float) -> bool:
+    def _may_reclaim_slots(
+        self, holder: slot_ledgers.SlotHolder, now_s: float
+    ) -> bool:
         silent_s = now_s - holder.updated_s
         if silent_s > terms.HORIZON_S + terms.DRIFT_MARGIN_S:
             return True
-        if silent_s <= TAKE_BACK_S or not self._members.is_confirmed():
+        if (
+            silent_s <= RECLAIM_SLOTS_AFTER_S
+            or not self._members.is_confirmed()
+        ):
             return False
         since_s = self._members.term.unbroken_since_s()
         # If the term was interrupted since, the entry host may have read
@@ -181,7 +186,9 @@
         # another scheduler can take over.
         return since_s is not None and since_s <= holder.updated_s
 
-    def _reclaim_slots(self, holder: slot_books.Holder, now_s: float) -> None:
+    def _reclaim_slots(
+        self, holder: slot_ledgers.SlotHolder, now_s: float
+    ) -> None:
         self._end_shares(holder.member, now_s=now_s, is_dead=False)
         _LOG.log(events.SLOTS_TAKEN_BACK, entry=holder.member.name)
 
@@ -197,14 +204,14 @@
         )
 
     def _quarantine(self, quarantine: quarantines.Quarantine) -> None:
-        for book in self.books.values():
-            book.quarantine(
+        for ledger in self.ledgers.values():
+            ledger.quarantine(
                 quarantine.member.incarnation,
                 until_s=quarantine.until_s(),
                 is_dead=quarantine.is_dead,
             )
 
-    def see_dead(self, member: holdings.MemberRow) -> None:
+    def mark_dead(self, member: holdings.MemberRow) -> None:
         """Record that a process of an entry host is proved dead.
 
         Args:
@@ -233,7 +240,7 @@
                 return
             await channel.send(self.answer(holder, report))
 
-    def open(self, member: holdings.MemberRow) -> slot_books.Holder:
+    def open(self, member: holdings.MemberRow) -> slot_ledgers.SlotHolder:
         """Register a link to an entry host; it replaces any earlier one.
 
         Args:
@@ -241,24 +248,24 @@
         """
         for other in list(self.holders.values()):
             if member.replaces(other.member):
-                self.see_dead(other.member)
+                self.mark_dead(other.member)
         self._quarantines.drop(member.incarnation)
         before = self.holders.get(member.incarnation)
         now_s = anyio.current_time()
-        holder = slot_books.Holder(member=member, now_s=now_s)
+        holder = slot_ledgers.SlotHolder(member=member, now_s=now_s)
         if before is not None:
             before.is_closed = True
             holder.updated_s = before.updated_s
-        for book in self.books.values():
+        for ledger in self.ledgers.values():
             # The slots it held on the earlier link stay counted until it
             # answers the claim on this one.
-            book.answered.discard(member.incarnation)
+            ledger.answered.discard(member.incarnation)
         self.holders[member.incarnation] = holder
         _LOG.log(events.PEER_CONNECTED, peer=member.name)
         return holder
 
     def answer(
-        self, holder: slot_books.Holder, report: messages.SlotReport
+        self, holder: slot_ledgers.SlotHolder, report: messages.SlotReport
     ) -> messages.SlotUpdate:
         """Apply a report and return the update to send in reply.
 
@@ -274,14 +281,14 @@
         )
         incarnation = holder.member.incarnation
         renewed = set()
-        for name, book in self.books.items():
-            if book.is_lost:
+        for name, ledger in self.ledgers.items():
+            if ledger.is_lost:
                 continue
-            if incarnation in book.answered:
+            if incarnation in ledger.answered:
                 renewed.add(name)
-                update.granted.extend(self._changed_grants(holder, book))
+                update.granted.extend(self._changed_grants(holder, ledger))
             else:
-                update.claims.append(book.claim)
+                update.claims.append(ledger.claim)
         update.withdrawn = sorted(holder.renewed - renewed)
         holder.renewed = renewed
         holder.updated_s = now_s
@@ -295,7 +302,7 @@
         return max(0.0, confirmed_s + terms.HORIZON_S - now_s)
 
     def _apply_report(
-        self, holder: slot_books.Holder, report: messages.SlotReport
+        self, holder: slot_ledgers.SlotHolder, report: messages.SlotReport
     ) -> None:
         incarnation = holder.member.incarnation
         holder.is_draining = report.is_draining
@@ -303,27 +310,27 @@
         for target, slowdown in report.slowdowns.items():
             self._on_slowdown(target, slowdown)
         for answer in report.answers:
-            book = self.books.get(answer.rack)
-            if book is None:
+            ledger = self.ledgers.get(answer.rack)
+            if ledger is None:
                 continue
-            if answer.epoch > book.claim.epoch:
-                book.is_lost = True
-            elif answer.epoch == book.claim.epoch:
-                book.clear_shares(incarnation)
-                book.answered.add(incarnation)
-                unanswered = book.unanswered_until_s or {}
+            if answer.epoch > ledger.claim.epoch:
+                ledger.is_lost = True
+            elif answer.epoch == ledger.claim.epoch:
+                ledger.clear_shares(incarnation)
+                ledger.answered.add(incarnation)
+                unanswered = ledger.unanswered_until_s or {}
                 unanswered.pop(incarnation, None)
         for held in report.holdings:
-            book = self.books.get(held.rack)
-            if book is None or incarnation not in book.answered:
+            ledger = self.ledgers.get(held.rack)
+            if ledger is None or incarnation not in ledger.answered:
                 continue
-            share = book.target(held.target).share(incarnation)
+            share = ledger.target(held.target).share(incarnation)
             share.held = held.slots
 
     def _changed_grants(
-        self, holder: slot_books.Holder, book: slot_books.SlotBook
+        self, holder: slot_ledgers.SlotHolder, ledger: slot_ledgers.SlotLedger
     ) -> list[grants.SlotGrant]:
-        rack = self._held_racks.get(book.claim.rack)
+        rack = self._held_racks.get(ledger.claim.rack)
         if rack is None:
             return []
         # The next holder of the rack finds in the member table which entry
@@ -334,10 +341,10 @@
         for target in rack.targets.values():
             # No earlier holder can have granted slots of a target that was
             # started in this epoch.
-            is_new = target.since_epoch == book.claim.epoch
-            may_allot = may_grant and (is_new or book.is_counted())
+            is_new = target.since_epoch == ledger.claim.epoch
+            may_allot = may_grant and (is_new or ledger.is_complete())
             grant = self._changed_grant(
-                holder, book, target, may_allot=may_allot
+                holder, ledger, target, may_allot=may_allot
             )
             if grant is not None:
                 changed.append(grant)
@@ -345,15 +352,15 @@
 
     def _changed_grant(
         self,
-        holder: slot_books.Holder,
-        book: slot_books.SlotBook,
+        holder: slot_ledgers.SlotHolder,
+        ledger: slot_ledgers.SlotLedger,
         target: targets.TargetSlots,
         *,
         may_allot: bool,
     ) -> grants.SlotGrant | None:
         """Return the new grant, or None if the entry host already has it."""
         incarnation = holder.member.incarnation
-        counted = book.target(target.id)
+        counted = ledger.target(target.id)
         share = counted.share(incarnation)
         if target.leaving or holder.is_draining:
             share.granted = 0
@@ -378,8 +385,8 @@
             team=target.team,
             service=target.service,
             slots=share.granted,
-            rack=book.claim.rack,
-            epoch=book.claim.epoch,
+            rack=ledger.claim.rack,
+            epoch=ledger.claim.epoch,
             leaving=target.leaving,
         )
 
--- a/wisteriawood/machines/indexes.py
+++ b/wisteriawood/machines/indexes.py
@@ -48,7 +48,7 @@
 
 def load_of(placement: workers.Placement, worker: workers.Worker) -> float:
     """Return the share of a worker's cores that a task may use."""
-    cores = placement.counted.cores * placement.throttle
+    cores = placement.allocated.cores * placement.throttle
     return cores / max(worker.capacity.cores, 1.0)
 
 
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
-class Entry:
+class IndexEntry:
     """A worker in the index.
 
     Attributes:
@@ -75,11 +75,11 @@
         used: Resources allocated to each team on it.
         groups: Number of instances of each group on it.
         neighbours: Classes that run on it, with their loads.
-        pressures: Predicted logarithm of the slowdown of each class on it.
+        log_slowdowns: Predicted logarithm of the slowdown of each class on it.
         changed_s: Monotonic time at which its tasks last changed.
         is_blocked: Whether it is on probation and gets no tasks.
-        is_hot: Whether services on it are slowed or batch jobs throttled, so
-            that batch jobs which are not urgent stay away.
+        has_slowed_services: Whether services on it are slowed or batch jobs
+            throttled, so that batch jobs which are not urgent stay away.
     """
 
     worker: workers.Worker
@@ -94,13 +94,13 @@
     neighbours: dict[str, interference.Neighbour] = dataclasses.field(
         default_factory=dict
     )
-    pressures: dict[str, float] = dataclasses.field(default_factory=dict)
+    log_slowdowns: dict[str, float] = dataclasses.field(default_factory=dict)
     changed_s: float = 0.0
     is_blocked: bool = False
-    is_hot: bool = False
+    has_slowed_services: bool = False
 
 
-def _add_neighbour(entry: Entry, placement: workers.Placement) -> None:
+def _add_neighbour(entry: IndexEntry, placement: workers.Placement) -> None:
     spec = placement.task.spec
     name = class_of(spec)
     load = load_of(placement, entry.worker)
@@ -129,16 +129,16 @@
         "_rng",
         "capacity",
         "entries",
-        "rack_groups",
+        "rack_group_counts",
         "team_used",
     )
 
     def __init__(self, *, rng: random.Random):
-        self._buckets: dict[Level, list[Entry]] = {}
+        self._buckets: dict[Level, list[IndexEntry]] = {}
         self._rng = rng
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, IndexEntry] = {}
         self.capacity = resources.NOTHING
-        self.rack_groups: dict[tuple[str, str], int] = {}
+        self.rack_group_counts: dict[tuple[str, str], int] = {}
         self.team_used: dict[str, resources.Resources] = {}
 
     def refresh(
@@ -157,7 +157,9 @@
         for name in self.entries.keys() - names:
             self.remove(name)
 
-    def update(self, worker: workers.Worker, *, now_s: float = 0.0) -> Entry:
+    def update(
+        self, worker: workers.Worker, *, now_s: float = 0.0
+    ) -> IndexEntry:
         """Update the entry of one worker, or add it.
 
         Args:
@@ -172,7 +174,7 @@
             self.remove(worker.name)
             entry = None
         if entry is None:
-            entry = self.entries[worker.name] = Entry(worker=worker)
+            entry = self.entries[worker.name] = IndexEntry(worker=worker)
             self.capacity = self.capacity + worker.capacity
         if entry.free is not worker.free:
             entry.free = worker.free
@@ -194,9 +196,9 @@
         self._subtract_usage(entry)
         self.capacity = self.capacity - entry.worker.capacity
 
-    def _update_bucket(self, entry: Entry) -> None:
+    def _update_bucket(self, entry: IndexEntry) -> None:
         worker = entry.worker
-        accepts_tasks = worker.is_known and not worker.leaving
+        accepts_tasks = worker.is_connected and not worker.leaving
         accepts_tasks = (
             accepts_tasks and not entry.reserved_for and not entry.is_blocked
         )
@@ -209,7 +211,7 @@
             entry.level, entry.position = level, len(bucket)
             bucket.append(entry)
 
-    def _remove_from_bucket(self, entry: Entry) -> None:
+    def _remove_from_bucket(self, entry: IndexEntry) -> None:
         if entry.level is None:
             return
         bucket = self._buckets[entry.level]
@@ -221,13 +223,13 @@
             del self._buckets[entry.level]
         entry.level = None
 
-    def _update_usage(self, entry: Entry) -> None:
+    def _update_usage(self, entry: IndexEntry) -> None:
         self._subtract_usage(entry)
         rack = entry.worker.rack
         for placement in entry.worker.placements.values():
             spec = placement.task.spec
             used = entry.used.get(spec.team, resources.NOTHING)
-            entry.used[spec.team] = used + placement.counted
+            entry.used[spec.team] = used + placement.allocated
             _add_neighbour(entry, placement)
             if spec.kind != tasks.TaskKind.BATCH:
                 group = group_of(spec)
@@ -237,20 +239,22 @@
             self.team_used[team] = total + used
         for group, count in entry.groups.items():
             key = (rack, group)
-            self.rack_groups[key] = self.rack_groups.get(key, 0) + count
+            self.rack_group_counts[key] = (
+                self.rack_group_counts.get(key, 0) + count
+            )
 
-    def _subtract_usage(self, entry: Entry) -> None:
+    def _subtract_usage(self, entry: IndexEntry) -> None:
         for team, used in entry.used.items():
             self.team_used[team] = self.team_used[team] - used
         for group, count in entry.groups.items():
             key = (entry.worker.rack, group)
-            self.rack_groups[key] -= count
-            if not self.rack_groups[key]:
-                del self.rack_groups[key]
+            self.rack_group_counts[key] -= count
+            if not self.rack_group_counts[key]:
+                del self.rack_group_counts[key]
         entry.used = {}
         entry.groups = {}
         entry.neighbours = {}
-        entry.pressures = {}
+        entry.log_slowdowns = {}
 
     def reserve(self, name: str, task: str) -> None:
         """Reserve a worker for one task; no other task is placed there.
@@ -264,7 +268,7 @@
             entry.reserved_for = task
             self._update_bucket(entry)
 
-    def refresh_usage(self, entry: Entry) -> None:
+    def refresh_usage(self, entry: IndexEntry) -> None:
         """Recompute the usage and loads of a worker after throttling.
 
         Args:
@@ -281,7 +285,9 @@
         used = self.team_used.get(team, resources.NOTHING)
         return dominant_share(used, self.capacity)
 
-    def sample(self, needs: resources.Resources, count: int) -> list[Entry]:
+    def sample(
+        self, needs: resources.Resources, count: int
+    ) -> list[IndexEntry]:
         """Return random workers that have enough resources free.
 
         Args:
@@ -290,8 +296,8 @@
         """
         sufficient = _levels(needs, math.ceil)
         minimum = _levels(needs, math.floor)
-        certain: list[list[Entry]] = []
-        borderline: list[list[Entry]] = []
+        certain: list[list[IndexEntry]] = []
+        borderline: list[list[IndexEntry]] = []
         for level, bucket in self._buckets.items():
             if level[2] < sufficient[2]:
                 continue
@@ -307,10 +313,10 @@
 
     def _draw(
         self,
-        buckets: list[list[Entry]],
+        buckets: list[list[IndexEntry]],
         needs: resources.Resources,
         count: int,
-    ) -> list[Entry]:
+    ) -> list[IndexEntry]:
         ends: list[int] = []
         total = 0
         for bucket in buckets:
@@ -327,7 +333,7 @@
         # Tasks may have been added to a worker since its bucket was chosen.
         return [entry for entry in drawn if needs.fits(entry.worker.free)]
 
-    def sample_any(self, count: int) -> list[Entry]:
+    def sample_any(self, count: int) -> list[IndexEntry]:
         """Return random workers that accept tasks, including full ones.
 
         Args:
@@ -335,7 +341,7 @@
         """
         return self._draw(list(self._buckets.values()), _ANY_AMOUNT, count)
 
-    def fitting(self, needs: resources.Resources) -> list[Entry]:
+    def fitting(self, needs: resources.Resources) -> list[IndexEntry]:
         """Return all workers that have enough resources free, by a scan.
 
         Args:
--- a/wisteriawood/machines/job_hosts.py
+++ b/wisteriawood/machines/job_hosts.py
@@ -65,9 +65,9 @@
         "_fleet",
         "_group",
         "_holders",
-        "_retention_s",
         "_lease_s",
         "_policy",
+        "_retention_s",
         "_scopes",
         "_takeovers",
         "counters",
@@ -192,7 +192,7 @@
         lost_s = anyio.current_time() - feed.answered_at_s
         return not feed.unbroken_since_s and lost_s > STORE_UNREACHABLE_S
 
-    def not_ready(self) -> str:
+    def unready_reason(self) -> str:
         """Return why the host accepts no connections; empty if it does."""
         if self.is_draining:
             return "draining"
--- a/wisteriawood/machines/slotted_links.py
+++ b/wisteriawood/machines/late_answer_links.py
@@ -24,18 +24,18 @@
         request: The request.
         answer: The target's answer, once received.
         error: Why there is no answer.
-        is_left: Whether no caller waits for the call any more.
+        is_abandoned: Whether no caller waits for the call any more.
         done: Set once the call has ended.
     """
 
     request: requests.Request
     answer: requests.Answer | None = None
     error: errors.RequestError | None = None
-    is_left: bool = False
+    is_abandoned: bool = False
     done: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
 
-class SlottedLink:
+class LateAnswerLink:
     """A link that waits for the target's answer beyond the deadline.
 
     A target may continue to work on a request whose caller no longer
@@ -62,7 +62,7 @@
         *,
         inner: target_links.TargetLink,
         target: targets.Target,
-        announcement: announcements.Announcement,
+        announcement: announcements.RequestTimeAnnouncement,
         group: abc.TaskGroup,
         on_late_answer: OnLateAnswer,
     ):
@@ -97,7 +97,7 @@
                 await call.done.wait()
         finally:
             if not call.done.is_set():
-                call.is_left = True
+                call.is_abandoned = True
                 self._target.late_calls += 1
         if call.answer is not None:
             return call.answer
@@ -119,7 +119,7 @@
                 reason=f"the target did not answer: {exc!r}", status=502
             )
         call.done.set()
-        if not call.is_left:
+        if not call.is_abandoned:
             return
         is_done = not isinstance(call.error, errors.RequestUnknownError)
         self._target.record_late_end(is_done=is_done)
--- a/wisteriawood/machines/leases.py
+++ b/wisteriawood/machines/leases.py
@@ -37,7 +37,7 @@
         LinkError: The worker does not respond.
     """
     sent_at_s = anyio.current_time()
-    not_after_s = sent_at_s + terms.COMMAND_LIFE_S
+    not_after_s = sent_at_s + terms.COMMAND_VALIDITY_S
     lease_s = rack.term_ends_s + terms.HORIZON_S - not_after_s
     if scheduler.has_authority(rack):
         rack.term_ends_s = scheduler.membership.term.ends_at_s()
@@ -45,12 +45,12 @@
         lease_s = terms.LEASE_S
     if not running or lease_s <= 0:
         return
-    before = worker.count_unacked(not_after_s, not_after_s + lease_s)
+    before = worker.record_unacked_renewal(not_after_s, not_after_s + lease_s)
     await worker.link.renew(
         worker_links.RenewCommand(
             attempts={p.task.spec.id: p.task.attempt for p in running},
             lease_s=lease_s,
-            not_after_s=not_after_s + worker.to_worker_s,
+            not_after_s=not_after_s + worker.clock_offset_s,
         )
     )
     worker.unacked_not_after_s, worker.unacked_ends_s = before
@@ -76,7 +76,7 @@
         # its lease.
         worker.unacked_ends_s = 0.0
     for placement in running:
-        if placement.is_adopted and sent_at_s <= rack.rival_until_s:
+        if placement.is_adopted and sent_at_s <= rack.former_renews_until_s:
             # The former holder may still renew the lease after this
             # renewal, so the later end counts.
             placement.lease_ends_s = max(ends_at_s, placement.lease_ends_s)
@@ -84,7 +84,7 @@
             placement.lease_ends_s = ends_at_s
 
 
-def is_lapsed(worker: workers.Worker, placement: workers.Placement) -> bool:
+def is_expired(worker: workers.Worker, placement: workers.Placement) -> bool:
     """Return whether the lease of a task's attempt has certainly expired.
 
     The worker stops an attempt when its lease expires.
--- a/wisteriawood/machines/monitors.py
+++ b/wisteriawood/machines/monitors.py
@@ -133,8 +133,8 @@
             self._learn_slowdown(
                 entry, placement, observed, report, is_stable, now_s
             )
-        self._update_counted(entry, now_s)
-        entry.pressures.clear()
+        self._update_allocations(entry, now_s)
+        entry.log_slowdowns.clear()
         self._limit_interference(entry, now_s)
 
     def _learn_size(
@@ -149,7 +149,7 @@
         observed.peak = resources.Resources(
             cores=max(used.cores, peak.cores),
             memory_bytes=max(used.memory_bytes, peak.memory_bytes),
-            accelerators=placement.counted.accelerators,
+            accelerators=placement.allocated.accelerators,
         )
         observed.reports += 1
         # Samples are taken at 2, 4, 8, ... reports, so a long run adds fewer
@@ -162,11 +162,11 @@
             self._allocator.sizes.observe(
                 indexes.class_of(spec), declared=spec.needs, used=observed.peak
             )
-            self._allocator.probes.finish(spec)
+            self._allocator.slow_starts.finish(spec)
 
     def _learn_slowdown(
         self,
-        entry: indexes.Entry,
+        entry: indexes.IndexEntry,
         placement: workers.Placement,
         observed: TaskObservations,
         report: worker_links.UsageReport,
@@ -191,7 +191,9 @@
                 now_s=now_s,
             )
 
-    def _update_counted(self, entry: indexes.Entry, now_s: float) -> None:
+    def _update_allocations(
+        self, entry: indexes.IndexEntry, now_s: float
+    ) -> None:
         """Allocate what tasks were measured to use."""
         worker = entry.worker
         least = MIN_CORES_CHANGE_SHARE * worker.capacity.cores
@@ -200,13 +202,13 @@
             if observed is None or observed.reports < 2:
                 continue
             learned = self._allocator.predict_needs(placement.task.spec)
-            old = placement.counted
+            old = placement.allocated
             # The margin is limited to free memory; the measured use always
             # counts in full.
             room_bytes = old.memory_bytes + max(0, worker.free.memory_bytes)
             margin_bytes = int(observed.peak.memory_bytes * MEMORY_MARGIN)
             wanted_bytes = max(learned.memory_bytes, margin_bytes)
-            counted = resources.Resources(
+            allocated = resources.Resources(
                 cores=observed.peak.cores,
                 memory_bytes=max(
                     observed.peak.memory_bytes, min(wanted_bytes, room_bytes)
@@ -214,13 +216,13 @@
                 accelerators=old.accelerators,
             )
             if (
-                abs(counted.cores - old.cores) < least
-                and counted.memory_bytes <= old.memory_bytes
-                and counted.memory_bytes > 0.8 * old.memory_bytes
+                abs(allocated.cores - old.cores) < least
+                and allocated.memory_bytes <= old.memory_bytes
+                and allocated.memory_bytes > 0.8 * old.memory_bytes
             ):
                 continue
             worker.remove(task_id)
-            placement.counted = counted
+            placement.allocated = allocated
             worker.add(placement)
         changed_s = entry.changed_s
         self._allocator.index.update(worker, now_s=now_s)
@@ -235,13 +237,13 @@
             if observed is None or observed.reports < 2:
                 continue
             worker.remove(task_id)
-            placement.counted = dataclasses.replace(
-                placement.counted, memory_bytes=observed.peak.memory_bytes
+            placement.allocated = dataclasses.replace(
+                placement.allocated, memory_bytes=observed.peak.memory_bytes
             )
             worker.add(placement)
 
     def _evict_to_free_memory(
-        self, entry: indexes.Entry, now_s: float
+        self, entry: indexes.IndexEntry, now_s: float
     ) -> None:
         self._drop_margins(entry.worker)
         self._allocator.index.update(entry.worker, now_s=now_s)
@@ -249,7 +251,7 @@
         evictions = self._allocator.evictions
         for task_id, placement in entry.worker.placements.items():
             if evictions.is_ordered(task_id):
-                short_bytes -= placement.counted.memory_bytes
+                short_bytes -= placement.allocated.memory_bytes
         for victim in evictions.victims(entry, now_s=now_s):
             if short_bytes <= 0:
                 return
@@ -259,45 +261,47 @@
                 reason="the worker's memory would not suffice",
                 now_s=now_s,
             )
-            short_bytes -= victim.counted.memory_bytes
+            short_bytes -= victim.allocated.memory_bytes
 
-    def _limit_interference(self, entry: indexes.Entry, now_s: float) -> None:
+    def _limit_interference(
+        self, entry: indexes.IndexEntry, now_s: float
+    ) -> None:
         excess_by_service = self._excess_by_service(entry)
         if not excess_by_service:
-            entry.is_hot = False
+            entry.has_slowed_services = False
             self._remove_throttles(entry)
             return
         excess = max(excess_by_service.values())
-        culprits = self._culprits(entry, excess_by_service, now_s)
-        verdict = self._throttling.decide(
+        aggressors = self._aggressors(entry, excess_by_service, now_s)
+        decision = self._throttling.decide(
             base.WorkerView(
                 worker=entry.worker.name,
                 excess=excess,
-                culprits=culprits,
+                aggressors=aggressors,
                 now_s=now_s,
             )
         )
-        for order in verdict.throttles:
+        for order in decision.throttles:
             entry.worker.order_throttle(order.task, order.share)
             _LOG.log(events.TASK_THROTTLED, task=order.task, share=order.share)
-        if verdict.throttles:
+        if decision.throttles:
             self._allocator.index.refresh_usage(entry)
-        if verdict.evict:
+        if decision.evict:
             self._allocator.evictions.evict_one(
                 entry,
                 harms={
-                    found.task: found.present_harm()
-                    for found in culprits
-                    if found.present_harm() >= base.LEAST_HARM
+                    found.task: found.current_harm()
+                    for found in aggressors
+                    if found.current_harm() >= base.MIN_HARM
                 },
                 reason="slows services, though throttled",
                 now_s=now_s,
             )
-        entry.is_hot = excess > 1.0 or any(
-            found.share < 1.0 for found in culprits
+        entry.has_slowed_services = excess > 1.0 or any(
+            found.share < 1.0 for found in aggressors
         )
 
-    def _remove_throttles(self, entry: indexes.Entry) -> None:
+    def _remove_throttles(self, entry: indexes.IndexEntry) -> None:
         """Remove the throttling of jobs on a worker without services."""
         worker = entry.worker
         throttled = [
@@ -310,7 +314,9 @@
         if throttled:
             self._allocator.index.refresh_usage(entry)
 
-    def _excess_by_service(self, entry: indexes.Entry) -> dict[str, float]:
+    def _excess_by_service(
+        self, entry: indexes.IndexEntry
+    ) -> dict[str, float]:
         """Return the slowdown of services by task, relative to the limit.
 
         Values above 1 exceed what the team allows. Services whose slowdown
@@ -326,22 +332,22 @@
                 continue
             quota = self._allocator.quotas.of(spec.team)
             excess_by_service[task_id] = observed.slowdown / math.exp(
-                least_harm.ceiling(quota)
+                least_harm.allowed_log_slowdown(quota)
             )
         return excess_by_service
 
-    def _culprits(
+    def _aggressors(
         self,
-        entry: indexes.Entry,
+        entry: indexes.IndexEntry,
         excess_by_service: dict[str, float],
         now_s: float,
-    ) -> list[base.Culprit]:
+    ) -> list[base.Aggressor]:
         worker = entry.worker
         names = {
             indexes.class_of(worker.placements[task].task.spec)
             for task in excess_by_service
         }
-        culprits = []
+        aggressors = []
         for task_id, placement in worker.placements.items():
             spec = placement.task.spec
             if spec.kind != tasks.TaskKind.BATCH:
@@ -352,23 +358,23 @@
             if spec.task_class in quota.not_throttled:
                 continue
             name = indexes.class_of(spec)
-            load = placement.counted.cores / worker.capacity.cores
+            load = placement.allocated.cores / worker.capacity.cores
             harm = max(
                 self._allocator.estimates.harm(victim, name, now_s)
                 for victim in names
             )
-            culprits.append(
-                base.Culprit(
+            aggressors.append(
+                base.Aggressor(
                     task=task_id,
                     harm=harm * load,
                     share=placement.throttle,
                 )
             )
-        return culprits
+        return aggressors
 
 
 def neighbours_of(
-    entry: indexes.Entry, placement: workers.Placement
+    entry: indexes.IndexEntry, placement: workers.Placement
 ) -> list[interference.Neighbour]:
     """Return the classes that run beside a task on its worker.
 
--- a/wisteriawood/machines/outliers.py
+++ b/wisteriawood/machines/outliers.py
@@ -27,7 +27,7 @@
 
     GOOD = "good"
     FAILED = "failed"
-    UNTOLD = "untold"
+    INCONCLUSIVE = "untold"
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -36,19 +36,19 @@
 
     Attributes:
         failures: Failures since the last good answer.
-        heard_s: Monotonic time in seconds of the last good answer, or of
+        answered_s: Monotonic time in seconds of the last good answer, or of
             the last request that was sent while no other was in flight,
             whichever is later.
-        times_out: Number of ejections since the last good answer.
-        out_until_s: Monotonic time in seconds from which the next probe
+        ejections: Number of ejections since the last good answer.
+        ejected_until_s: Monotonic time in seconds from which the next probe
             may be sent.
         is_probe_in_flight: Whether a probe is in flight.
     """
 
     failures: int = 0
-    heard_s: float = 0.0
-    times_out: int = 0
-    out_until_s: float = 0.0
+    answered_s: float = 0.0
+    ejections: int = 0
+    ejected_until_s: float = 0.0
     is_probe_in_flight: bool = False
 
 
@@ -67,7 +67,7 @@
     return max(MIN_STALL_TIMEOUT_S, STALL_P99_FACTOR * p99_s)
 
 
-class OutlierWatch:
+class OutlierDetector:
     """Ejects failing targets of one service and probes them.
 
     When more than MAX_EJECTED_SHARE of the targets are ejected, the cause
@@ -78,27 +78,31 @@
         rng: Source of the jitter between probes.
     """
 
-    __slots__ = ("_out", "_records", "_rng")
+    __slots__ = ("_ejected", "_records", "_rng")
 
     def __init__(self, *, rng: random.Random):
         self._rng = rng
         self._records: dict[str, TargetRecord] = {}
-        self._out: dict[str, TargetRecord] = {}
+        self._ejected: dict[str, TargetRecord] = {}
 
-    def out(self, *, targets_count: int) -> typing.Mapping[str, TargetRecord]:
+    def ejected(
+        self, *, targets_count: int
+    ) -> typing.Mapping[str, TargetRecord]:
         """Return the ejected targets by id; they get only probes.
 
         Args:
             targets_count: Number of targets of the service.
         """
-        if len(self._out) > MAX_EJECTED_SHARE * targets_count:
+        if len(self._ejected) > MAX_EJECTED_SHARE * targets_count:
             return {}
-        return self._out
+        return self._ejected
 
     def is_probe_due(self, target_id: str, *, now_s: float) -> bool:
         """Return whether an ejected target may get a probe request."""
-        record = self._out[target_id]
-        return not record.is_probe_in_flight and now_s >= record.out_until_s
+        record = self._ejected[target_id]
+        return (
+            not record.is_probe_in_flight and now_s >= record.ejected_until_s
+        )
 
     def record_sent(self, target: targets.Target, *, now_s: float) -> bool:
         """Record that a request is about to be sent.
@@ -112,8 +116,8 @@
         """
         record = self._records.setdefault(target.id, TargetRecord())
         if target.in_flight <= 1:
-            record.heard_s = now_s
-        if target.id not in self._out:
+            record.answered_s = now_s
+        if target.id not in self._ejected:
             return False
         record.is_probe_in_flight = True
         return True
@@ -134,16 +138,16 @@
             False,
         )
         if verdict is Verdict.GOOD:
-            self._bring_in(target.id, record, now_s=now_s)
+            self._readmit(target.id, record, now_s=now_s)
         if verdict is Verdict.FAILED:
             record.failures += 1
-            is_ejected = target.id in self._out
+            is_ejected = target.id in self._ejected
             if is_ejected and was_probe_in_flight:
-                self._take_out(target.id, record, now_s=now_s)
+                self._eject(target.id, record, now_s=now_s)
             if not is_ejected and record.failures >= FAILURES_TO_EJECT:
-                self._take_out(target.id, record, now_s=now_s)
+                self._eject(target.id, record, now_s=now_s)
 
-    def take_out_stalled(
+    def eject_stalled(
         self,
         current: typing.Iterable[targets.Target],
         *,
@@ -165,37 +169,39 @@
             record = self._records.get(target.id)
             if record is None or not target.in_flight:
                 continue
-            if target.id in self._out:
+            if target.id in self._ejected:
                 continue
-            if now_s - record.heard_s > stall_timeout_s(p99_s=p99_s):
-                self._take_out(target.id, record, now_s=now_s)
+            if now_s - record.answered_s > stall_timeout_s(p99_s=p99_s):
+                self._eject(target.id, record, now_s=now_s)
                 stalled.append(target.id)
         return stalled
 
     def forget(self, target_id: str) -> None:
         """Remove the record of a target that has left."""
         self._records.pop(target_id, None)
-        self._out.pop(target_id, None)
+        self._ejected.pop(target_id, None)
 
     def known_ids(self) -> list[str]:
         """Return the ids of the targets that have a record."""
         return list(self._records)
 
-    def _take_out(
+    def _eject(
         self, target_id: str, record: TargetRecord, *, now_s: float
     ) -> None:
-        ejection_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**record.times_out)
-        record.times_out += 1
-        record.out_until_s = now_s + ejection_s * self._rng.uniform(0.5, 1.0)
-        if target_id not in self._out:
+        ejection_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**record.ejections)
+        record.ejections += 1
+        record.ejected_until_s = now_s + ejection_s * self._rng.uniform(
+            0.5, 1.0
+        )
+        if target_id not in self._ejected:
             _LOG.log(events.TARGET_TAKEN_OUT, target=target_id)
-        self._out[target_id] = record
+        self._ejected[target_id] = record
 
-    def _bring_in(
+    def _readmit(
         self, target_id: str, record: TargetRecord, *, now_s: float
     ) -> None:
         record.failures = 0
-        record.times_out = 0
-        record.heard_s = now_s
-        if self._out.pop(target_id, None) is not None:
+        record.ejections = 0
+        record.answered_s = now_s
+        if self._ejected.pop(target_id, None) is not None:
             _LOG.log(events.TARGET_BROUGHT_IN, target=target_id)
--- a/wisteriawood/machines/placers.py
+++ b/wisteriawood/machines/placers.py
@@ -118,7 +118,7 @@
         self._scheduler = scheduler
 
     @property
-    def pending(self) -> dict[str, queues.WaitingTask]:
+    def pending(self) -> dict[str, queues.PendingTask]:
         """Waiting tasks by id."""
         return self.allocator.queue.waiting
 
@@ -131,7 +131,7 @@
         waiting = self.pending.get(task)
         return waiting.reason if waiting is not None else ""
 
-    def see_hosts(self, hosts: list[platforms.Host]) -> None:
+    def update_capacities(self, hosts: list[platforms.Host]) -> None:
         """Update the capacities of the zone's workers.
 
         Args:
@@ -160,7 +160,7 @@
             now_s=anyio.current_time(),
         )
 
-    def note_success(self, task: str, worker: str) -> None:
+    def record_success(self, task: str, worker: str) -> None:
         """Record that an attempt finished.
 
         Args:
@@ -169,7 +169,7 @@
         """
         self.allocator.probations.record_success(worker=worker, task=task)
 
-    def note_failure(self, task: str, worker: str) -> None:
+    def record_failure(self, task: str, worker: str) -> None:
         """Record that an attempt failed.
 
         Args:
@@ -218,7 +218,7 @@
     async def _read_queue(self) -> None:
         scheduler = self._scheduler
         pending_rows = await platforms.scan_all(
-            scheduler.platform, keys.pendings(scheduler.zone)
+            scheduler.platform, keys.pending_in_zone(scheduler.zone)
         )
         now_s = anyio.current_time()
         seen = set()
@@ -286,7 +286,7 @@
             yield from rack.workers.values()
 
     async def _end_if_impossible(
-        self, waiting: queues.WaitingTask, now_s: float
+        self, waiting: queues.PendingTask, now_s: float
     ) -> None:
         needs = waiting.task.spec.needs
         if now_s - waiting.since_s < IMPOSSIBLE_AFTER_S + waiting.min_wait_s:
@@ -303,7 +303,7 @@
             return
         await self._end_as_impossible(waiting)
 
-    async def _end_as_impossible(self, waiting: queues.WaitingTask) -> None:
+    async def _end_as_impossible(self, waiting: queues.PendingTask) -> None:
         task = waiting.task
         needs = task.spec.needs
         task.state = tasks.TaskState.IMPOSSIBLE
--- a/wisteriawood/machines/quarantines.py
+++ b/wisteriawood/machines/quarantines.py
@@ -23,7 +23,7 @@
     member: holdings.MemberRow
     ended_s: float
     is_dead: bool
-    longest_s: float = requests.LONGEST_REQUEST_S
+    longest_s: float = requests.MAX_REQUEST_S
 
     def until_s(self) -> float:
         """Return the monotonic time by which its last request has ended."""
@@ -100,17 +100,19 @@
         return list(self._open.values())
 
     def _read_row(self, found: Quarantine) -> None:
-        sighting = self._sighting(found)
-        if sighting is None or not sighting.version:
+        observed = self._observed_member(found)
+        if observed is None or not observed.version:
             return
         longest_s = 0.0
-        if sighting.member.incarnation == found.member.incarnation:
-            longest_s = sighting.member.longest_s
-        elif sighting.member.former_incarnation == found.member.incarnation:
-            longest_s = sighting.member.former_longest_s
+        if observed.member.incarnation == found.member.incarnation:
+            longest_s = observed.member.longest_s
+        elif observed.member.former_incarnation == found.member.incarnation:
+            longest_s = observed.member.former_longest_s
         if longest_s > 0:
             found.longest_s = longest_s
 
-    def _sighting(self, found: Quarantine) -> membership.Sighting | None:
+    def _observed_member(
+        self, found: Quarantine
+    ) -> membership.ObservedMember | None:
         member = found.member
-        return self._members.sightings.get((member.role, member.name))
+        return self._members.observed_members.get((member.role, member.name))
--- a/wisteriawood/machines/queues.py
+++ b/wisteriawood/machines/queues.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
-class WaitingTask:
+class PendingTask:
     """A task that waits for a worker.
 
     Attributes:
@@ -45,24 +45,24 @@
         return self.since_s - spec.priority * WAIT_PER_PRIORITY_S, spec.id
 
 
-class Queue:
+class PendingQueue:
     """Waiting tasks: urgent ones first, then teams by their share."""
 
     __slots__ = ("_teams", "_urgent", "waiting")
 
     def __init__(self):
-        self.waiting: dict[str, WaitingTask] = {}
+        self.waiting: dict[str, PendingTask] = {}
         self._urgent = self._new_list()
         self._teams: dict[str, sortedcontainers.SortedKeyList] = {}
 
     @staticmethod
     def _new_list() -> sortedcontainers.SortedKeyList:
-        return sortedcontainers.SortedKeyList(key=WaitingTask.sort_key)
+        return sortedcontainers.SortedKeyList(key=PendingTask.sort_key)
 
     def __len__(self) -> int:
         return len(self.waiting)
 
-    def _list_of(self, waiting: WaitingTask) -> sortedcontainers.SortedKeyList:
+    def _list_of(self, waiting: PendingTask) -> sortedcontainers.SortedKeyList:
         spec = waiting.task.spec
         if spec.urgent:
             return self._urgent
@@ -70,7 +70,7 @@
 
     def add(
         self, task: tasks.Task, *, version: int, now_s: float
-    ) -> WaitingTask:
+    ) -> PendingTask:
         """Add a task, or update it from a newer version of its row.
 
         Args:
@@ -82,7 +82,7 @@
             The queue entry; an updated task keeps its waiting time.
         """
         old = self.discard(task.spec.id)
-        waiting = WaitingTask(task=task, version=version, since_s=now_s)
+        waiting = PendingTask(task=task, version=version, since_s=now_s)
         if old is not None:
             waiting.since_s = old.since_s
             waiting.reason = old.reason
@@ -93,7 +93,7 @@
         self._list_of(waiting).add(waiting)
         return waiting
 
-    def discard(self, task: str) -> WaitingTask | None:
+    def discard(self, task: str) -> PendingTask | None:
         """Remove a task.
 
         Args:
@@ -115,13 +115,13 @@
         """Return the teams with waiting tasks that are not urgent."""
         return list(self._teams)
 
-    def urgent(self) -> list[WaitingTask]:
+    def urgent(self) -> list[PendingTask]:
         """Return the urgent tasks in the order of placement."""
         return list(self._urgent)
 
     def by_share(
         self, share: typing.Callable[[str], float]
-    ) -> typing.Iterator[WaitingTask]:
+    ) -> typing.Iterator[PendingTask]:
         """Yield tasks that are not urgent, the team of least share first.
 
         The share of a team is read again after each of its tasks, so that
--- a/wisteriawood/machines/keepers.py
+++ b/wisteriawood/machines/rack_managers.py
@@ -47,7 +47,7 @@
         self._probes = probes.Prober(
             dial_peer=dial_peer,
             suspects=self._suspects,
-            see_dead=self._see_dead,
+            on_dead=self._mark_dead,
         )
 
     async def run(self) -> None:
@@ -62,16 +62,16 @@
         members = self._scheduler.membership
         now_s = anyio.current_time()
         return [
-            sighting.member
-            for (role, name), sighting in members.sightings.items()
+            observed.member
+            for (role, name), observed in members.observed_members.items()
             if role == holdings.Role.SCHEDULER
             and name in self._scheduler.rack_holders
-            and sighting.member.peer_address
-            and sighting.member.incarnation not in members.dead
-            and now_s - sighting.first_seen_s > PROBE_HOLDER_AFTER_S
+            and observed.member.peer_address
+            and observed.member.incarnation not in members.dead
+            and now_s - observed.first_seen_s > PROBE_HOLDER_AFTER_S
         ]
 
-    def _see_dead(self, member: holdings.MemberRow) -> None:
+    def _mark_dead(self, member: holdings.MemberRow) -> None:
         self._scheduler.membership.dead.add(member.incarnation)
         _LOG.log(events.SCHEDULER_DEAD, scheduler=member.name)
 
@@ -94,7 +94,7 @@
             for host in await self._scheduler.platform.hosts()
             if host.zone == self._scheduler.zone
         ]
-        self._scheduler.placer.see_hosts(hosts)
+        self._scheduler.placer.update_capacities(hosts)
         prefix = keys.racks(self._scheduler.zone)
         found = {
             row.key.removeprefix(prefix): row
@@ -128,14 +128,14 @@
             is_own = holding.incarnation == rack.holding.incarnation
             if is_own and holding.epoch == rack.holding.epoch:
                 rack.version = row.version
-                rack.verified_since_s = since_s
+                rack.verified_term_start_s = since_s
                 rack.term_ends_s = self._term_ends_s()
                 return
         del self._scheduler.racks[name]
         _LOG.log(events.RACK_LOST, rack=name)
 
     async def _claim_rack(
-        self, claim: claims.Claim, since_s: float | None
+        self, claim: claims.ClaimProposal, since_s: float | None
     ) -> None:
         rack = await claims.commit(
             self._scheduler.platform, self._scheduler.membership.own, claim
@@ -144,9 +144,10 @@
             return
         name = rack.holding.rack
         found = await platforms.scan_all(
-            self._scheduler.platform, keys.placeds(self._scheduler.zone, name)
+            self._scheduler.platform,
+            keys.placed_on_rack(self._scheduler.zone, name),
         )
-        rack.verified_since_s = since_s
+        rack.verified_term_start_s = since_s
         rack.term_ends_s = self._term_ends_s()
         self._scheduler.racks[name] = rack
         for row in found:
@@ -173,12 +174,12 @@
             workers.Placement(
                 task=task,
                 version=row.version,
-                counted=task.spec.needs,
+                allocated=task.spec.needs,
                 is_committed=True,
                 is_adopted=True,
-                lease_ends_s=rack.adopted_until_s,
+                lease_ends_s=rack.former_leases_until_s,
                 not_after_s=anyio.current_time()
-                + terms.COMMAND_LIFE_S
+                + terms.COMMAND_VALIDITY_S
                 + terms.DRIFT_MARGIN_S,
             )
         )
@@ -190,15 +191,15 @@
             if rack is None:
                 continue
             if host.kind == platforms.HostKind.TARGET:
-                rack.see_target(host)
+                rack.update_target(host)
                 continue
             listed.add(host.name)
             worker = rack.workers.get(host.name)
-            if worker is None or worker.is_moved(host.address):
+            if worker is None or worker.has_new_address(host.address):
                 worker = self._scheduler.add_worker(
                     rack, host.name, host.address, host.capacity
                 )
-            worker.see_leaving(
+            worker.set_leaving(
                 host.leaving or self._scheduler.drains.is_ordered(host.name)
             )
         for rack in self._scheduler.racks.values():
@@ -222,10 +223,10 @@
             await anyio.sleep(FORMER_CHECK_PERIOD_S)
 
     async def _is_dead(self, former: holdings.MemberRow) -> bool:
-        sighting = self._scheduler.membership.sightings.get(
+        observed = self._scheduler.membership.observed_members.get(
             (former.role, former.name)
         )
-        if sighting and sighting.member.incarnation != former.incarnation:
+        if observed and observed.member.incarnation != former.incarnation:
             return True
         return await probes.is_refused(self._dial_peer, former)
 
--- a/wisteriawood/machines/racks.py
+++ b/wisteriawood/machines/racks.py
@@ -21,13 +21,13 @@
     """
 
     __slots__ = (
-        "adopted_until_s",
         "former",
+        "former_leases_until_s",
+        "former_renews_until_s",
         "holding",
-        "rival_until_s",
         "targets",
         "term_ends_s",
-        "verified_since_s",
+        "verified_term_start_s",
         "version",
         "workers",
     )
@@ -44,15 +44,15 @@
         self.former = former
         # Monotonic time until which leases granted by former holders may
         # last.
-        self.adopted_until_s = 0.0
+        self.former_leases_until_s = 0.0
         # Monotonic time until which a former holder may renew leases.
-        self.rival_until_s = 0.0
+        self.former_renews_until_s = 0.0
         # Monotonic time at which the newest term ends in which the rack was
         # certainly held.
         self.term_ends_s = 0.0
         # Monotonic start of the uninterrupted term in which the rack's row
         # was last verified.
-        self.verified_since_s: float | None = None
+        self.verified_term_start_s: float | None = None
         self.workers: dict[str, workers.Worker] = {}
         self.targets: dict[str, targets.TargetSlots] = {}
 
@@ -62,9 +62,11 @@
         Only its commands in flight can still renew leases.
         """
         self.former = None
-        self.rival_until_s = min(
-            self.rival_until_s,
-            anyio.current_time() + terms.COMMAND_LIFE_S + terms.DRIFT_MARGIN_S,
+        self.former_renews_until_s = min(
+            self.former_renews_until_s,
+            anyio.current_time()
+            + terms.COMMAND_VALIDITY_S
+            + terms.DRIFT_MARGIN_S,
         )
 
     def lease_left_s(self) -> float:
@@ -91,11 +93,11 @@
             listed: Names of the workers in the host list.
         """
         for worker in list(self.workers.values()):
-            is_idle = not worker.placements and not worker.is_known
+            is_idle = not worker.placements and not worker.is_connected
             if is_idle and worker.name not in listed:
                 del self.workers[worker.name]
 
-    def see_target(self, host: platforms.Host) -> None:
+    def update_target(self, host: platforms.Host) -> None:
         """Add or update a target from the platform's host list.
 
         Args:
--- a/wisteriawood/machines/attempts.py
+++ b/wisteriawood/machines/reconciliations.py
@@ -69,7 +69,7 @@
         # The worker read its clock before its answer arrived, so this
         # offset is never too large, and a deadline converted with it is
         # never too late.
-        worker.to_worker_s = inventory.clock_s - anyio.current_time()
+        worker.clock_offset_s = inventory.clock_s - anyio.current_time()
         self._reports = {
             (report.task, report.attempt): report
             for report in inventory.attempts
@@ -87,7 +87,7 @@
             LinkError: The worker does not respond.
         """
         ends_at_s = anyio.current_time() + RECONCILE_MAX_S
-        self._worker.see_capacity(self._inventory.capacity)
+        self._worker.set_capacity(self._inventory.capacity)
         await self._stop_unknown_attempts()
         await leases.renew(
             self._scheduler,
@@ -144,7 +144,7 @@
                 attempt=report.attempt,
             )
             await self._worker.link.stop(report.task, report.attempt)
-        self._worker.count_strangers(needs)
+        self._worker.allocate_unknown_attempts(needs)
 
     async def _reconcile_task(self, placement: workers.Placement) -> None:
         report = self._report(placement)
@@ -165,7 +165,7 @@
         if self._sent_at_s <= placement.not_after_s:
             # A start command may still be in flight.
             return
-        reason = placement.eviction or "its worker no longer runs it"
+        reason = placement.eviction_reason or "its worker no longer runs it"
         transitions.remove_from_worker(
             self._scheduler, self._rack, self._worker, placement, reason
         )
@@ -183,7 +183,7 @@
     async def _start(self, placement: workers.Placement) -> None:
         term_ends_s = self._scheduler.membership.term.ends_at_s()
         not_after_s = min(
-            term_ends_s, anyio.current_time() + terms.COMMAND_LIFE_S
+            term_ends_s, anyio.current_time() + terms.COMMAND_VALIDITY_S
         )
         placement.not_after_s = not_after_s + terms.DRIFT_MARGIN_S
         placement.lease_ends_s = max(
@@ -194,7 +194,7 @@
             spec=placement.task.spec,
             attempt=placement.task.attempt,
             lease_s=terms.LEASE_S,
-            not_after_s=not_after_s + self._worker.to_worker_s,
+            not_after_s=not_after_s + self._worker.clock_offset_s,
             checkpoint=placement.task.checkpoint,
         )
         try:
@@ -217,7 +217,7 @@
         placement.refusals += 1
         _LOG.log(events.START_REFUSED, task=placement.task.spec.id)
         if placement.refusals >= MAX_START_REFUSALS:
-            placement.eviction = "its worker refused to start it"
+            placement.eviction_reason = "its worker refused to start it"
 
     async def _reconcile_running(
         self,
@@ -238,7 +238,7 @@
             if self._is_drained(placement):
                 await self._worker.link.stop(task.spec.id, task.attempt)
                 self._worker.wake()
-        elif placement.eviction:
+        elif placement.eviction_reason:
             await self._begin_eviction(placement)
         elif task.state == tasks.TaskState.ASSIGNED:
             self._record(placement, state=tasks.TaskState.RUNNING)
@@ -274,7 +274,7 @@
             placement,
             state=tasks.TaskState.STOPPING,
             checkpoint=checkpoint or task.checkpoint,
-            reason=placement.eviction,
+            reason=placement.eviction_reason,
         )
 
     def _record(
@@ -292,7 +292,7 @@
         args = (self._scheduler, self._rack, self._worker, placement)
         if report.state == worker_links.AttemptState.FINISHED:
             task = placement.task.spec.id
-            self._scheduler.placer.note_success(task, self._worker.name)
+            self._scheduler.placer.record_success(task, self._worker.name)
             transitions.end(*args, state=tasks.TaskState.FINISHED, reason="")
         elif report.state == worker_links.AttemptState.FAILED:
             transitions.fail(*args, report.reason)
@@ -339,7 +339,7 @@
         PlatformError: A row could not be read again.
     """
     for placement in list(worker.placements.values()):
-        await transitions.settle(scheduler, rack, worker, placement)
+        await transitions.apply_commit(scheduler, rack, worker, placement)
     sent_at_s = anyio.current_time()
     try:
         inventory = await worker.link.inventory()
@@ -351,8 +351,8 @@
         raise errors.LinkClosedError(
             f"{worker.address} answers as {inventory.worker!r}"
         )
-    if not worker.is_known:
-        worker.is_known = True
+    if not worker.is_connected:
+        worker.is_connected = True
         _LOG.log(events.WORKER_CONNECTED, worker=worker.name)
     await Reconciliation(
         scheduler=scheduler,
@@ -377,7 +377,7 @@
     for placement in list(worker.placements.values()):
         if not placement.is_committed or placement.change is not None:
             continue
-        if scheduler.has_authority(rack) and leases.is_lapsed(
+        if scheduler.has_authority(rack) and leases.is_expired(
             worker, placement
         ):
             reason = "its worker does not answer and its lease lapsed"
--- a/wisteriawood/machines/waiting_rooms.py
+++ b/wisteriawood/machines/request_queues.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
-class Waiter:
+class WaitingRequest:
     """One request that waits for a slot.
 
     Attributes:
@@ -51,7 +51,7 @@
         self.resolved.set()
 
 
-def priority_key(waiter: Waiter) -> tuple[bool, float, int]:
+def priority_key(waiter: WaitingRequest) -> tuple[bool, float, int]:
     """Return the key that orders the waiting requests of one team."""
     request = waiter.request
     return (not request.urgent, request.deadline_s, waiter.sequence)
@@ -140,21 +140,21 @@
         for share in self._shares.values():
             share.weight = self._weights.get(share.name, DEFAULT_WEIGHT)
 
-    def add(self, waiter: Waiter) -> None:
+    def add(self, waiter: WaitingRequest) -> None:
         """Add a request to the queue."""
         self.share(waiter.request).waiters.add(waiter)
         self.waiting += 1
         self._usage.waiting += 1
         self._usage.size_bytes += len(waiter.request.body)
 
-    def remove(self, waiter: Waiter) -> None:
+    def remove(self, waiter: WaitingRequest) -> None:
         """Remove a request from the queue."""
         self.share(waiter.request).waiters.remove(waiter)
         self.waiting -= 1
         self._usage.waiting -= 1
         self._usage.size_bytes -= len(waiter.request.body)
 
-    def head(self, *, slots: int) -> Waiter:
+    def head(self, *, slots: int) -> WaitingRequest:
         """Return the request that gets the next slot.
 
         The queue must not be empty.
@@ -202,7 +202,7 @@
         lent = (own + 1) * (waiting_weight / share.weight - 1)
         return own + min(others, lent)
 
-    def last(self) -> Waiter:
+    def last(self) -> WaitingRequest:
         """Return the request to refuse first when the queue is full.
 
         It has the lowest priority in the team with the most waiting
@@ -217,7 +217,7 @@
         return sum(s.weight for s in self._shares.values() if s.is_active())
 
 
-class WaitingRoom:
+class RequestQueuePool:
     """Pool of the request queues of all services of an entry host.
 
     It bounds the number and size of the waiting requests, and enforces
@@ -287,15 +287,15 @@
         """Return whether a team is below its limit."""
         return self._in_flight.get(team, 0) < self.limit(team)
 
-    def take(self, team: str) -> None:
+    def acquire_slot(self, team: str) -> None:
         """Add one to the team's requests in flight."""
         self._in_flight[team] = self._in_flight.get(team, 0) + 1
 
-    def give_back(self, team: str) -> None:
+    def release_slot(self, team: str) -> None:
         """Subtract one from the team's requests in flight."""
         self._in_flight[team] -= 1
 
-    def remove_overflow(self) -> list[Waiter]:
+    def remove_overflow(self) -> list[WaitingRequest]:
         """Remove requests until the pool is within its bounds.
 
         The team with the most waiting requests relative to its weight
--- a/wisteriawood/machines/run_once.py
+++ b/wisteriawood/machines/run_once.py
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
-class Claim:
+class KeyClaim:
     """A claim of this process to an idempotency key, for one request.
 
     Attributes:
@@ -46,7 +46,7 @@
         record: The record.
         version: Version of the row; 0 while the key is not claimed.
         error: Why the key could not be claimed; None without an error.
-        is_left: Whether no caller waits for the claim any more.
+        is_abandoned: Whether no caller waits for the claim any more.
         done: Set once the claim has succeeded or failed.
     """
 
@@ -54,7 +54,7 @@
     record: runonce.RunOnceRecord
     version: int = 0
     error: errors.PlatformError | None = None
-    is_left: bool = False
+    is_abandoned: bool = False
     done: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
 
@@ -71,9 +71,9 @@
         "_commits",
         "_group",
         "_members",
-        "_unanswered",
-        "_platform",
         "_pending_writes",
+        "_platform",
+        "_unanswered",
         "_wall_clock",
     )
 
@@ -89,7 +89,7 @@
         self._wall_clock = wall_clock
         self._commits = commits.GroupCommit(platform=platform)
         self._group: abc.TaskGroup | None = None
-        self._unanswered: dict[str, Claim] = {}
+        self._unanswered: dict[str, KeyClaim] = {}
         self._pending_writes = 0
 
     async def run(self) -> None:
@@ -102,7 +102,7 @@
             group.start_soon(self._commits.run)
             group.start_soon(self._sweep_forever)
 
-    async def settle(self) -> None:
+    async def wait_until_stored(self) -> None:
         """Wait until pending writes are done, within a time limit."""
         with anyio.move_on_after(SHUTDOWN_STORE_TIMEOUT_S):
             while self._pending_writes:
@@ -144,7 +144,7 @@
 
     async def _claim(
         self, request: requests.Request, *, condition: int
-    ) -> Claim:
+    ) -> KeyClaim:
         """Claim the key of a request before the request is sent."""
         if not self._members.is_reachable:
             raise _key_not_checked()
@@ -158,7 +158,7 @@
             until_unix_s=now_unix_s + left_s,
             expires_unix_s=now_unix_s + RECORD_RETENTION_S,
         )
-        claim = Claim(
+        claim = KeyClaim(
             row_key=keys.run_once(request.team, request.key), record=record
         )
         self._group.start_soon(self._insert, claim, condition)
@@ -166,12 +166,12 @@
             with anyio.move_on_after(min(left_s, CLAIM_TIMEOUT_S)):
                 await claim.done.wait()
         finally:
-            claim.is_left = not claim.done.is_set()
-        if claim.is_left or claim.error is not None:
+            claim.is_abandoned = not claim.done.is_set()
+        if claim.is_abandoned or claim.error is not None:
             raise _key_not_checked()
         return claim
 
-    async def _insert(self, claim: Claim, condition: int) -> None:
+    async def _insert(self, claim: KeyClaim, condition: int) -> None:
         try:
             claim.version = await self._write(
                 claim, condition, rows.to_value(claim.record)
@@ -181,13 +181,13 @@
         except errors.PlatformError as exc:
             claim.error = exc
         claim.done.set()
-        if claim.is_left and claim.version:
+        if claim.is_abandoned and claim.version:
             # The caller got the answer that the request was not run, so
             # the key is released.
             await self._delete_record(claim)
 
     async def _write(
-        self, claim: Claim, condition: int, value: typing.Any
+        self, claim: KeyClaim, condition: int, value: typing.Any
     ) -> int:
         key = claim.row_key
         return await self._commits.commit(
@@ -258,7 +258,7 @@
         )
 
     async def _run(
-        self, request: requests.Request, claim: Claim, dispatch: Dispatch
+        self, request: requests.Request, claim: KeyClaim, dispatch: Dispatch
     ) -> requests.Answer:
         self._unanswered[request.id] = claim
         try:
@@ -303,10 +303,10 @@
         if claim is not None:
             self._group.start_soon(self._run_write, self._store, claim, answer)
 
-    async def _delete_record(self, claim: Claim) -> None:
+    async def _delete_record(self, claim: KeyClaim) -> None:
         await self._write_until_done(claim, lambda: None)
 
-    async def _store(self, claim: Claim, answer: requests.Answer) -> None:
+    async def _store(self, claim: KeyClaim, answer: requests.Answer) -> None:
         record = claim.record
         record.status = answer.status
         record.headers = list(answer.headers)
@@ -327,7 +327,7 @@
                 await anyio.sleep(RETRY_PERIOD_S)
 
     async def _write_until_done(
-        self, claim: Claim, value: typing.Callable[[], typing.Any]
+        self, claim: KeyClaim, value: typing.Callable[[], typing.Any]
     ) -> None:
         while True:
             try:
@@ -355,12 +355,12 @@
             The last key of the page; empty after the last page.
         """
         page = await self._platform.scan(
-            keys.run_onces(), after=after, limit=SWEEP_PAGE_ROWS
+            keys.run_once_records(), after=after, limit=SWEEP_PAGE_ROWS
         )
         for row in page:
             record = rows.from_value(row.value, runonce.RunOnceRecord)
             if record.expires_unix_s < self._wall_clock():
-                claim = Claim(
+                claim = KeyClaim(
                     row_key=row.key, record=record, version=row.version
                 )
                 await self._delete_record(claim)
--- a/wisteriawood/machines/schedulers.py
+++ b/wisteriawood/machines/schedulers.py
@@ -18,13 +18,13 @@
 from wisteriawood.links import peers
 from wisteriawood.links import platforms
 from wisteriawood.links import workers as worker_links
-from wisteriawood.machines import attempts
-from wisteriawood.machines import cancels
+from wisteriawood.machines import cancellations
 from wisteriawood.machines import grantors
-from wisteriawood.machines import keepers
 from wisteriawood.machines import leases
 from wisteriawood.machines import placers
+from wisteriawood.machines import rack_managers
 from wisteriawood.machines import racks
+from wisteriawood.machines import reconciliations
 from wisteriawood.machines import transitions
 from wisteriawood.machines import workers
 from wisteriawood.policies.placement import base
@@ -115,7 +115,7 @@
         self.racks: dict[str, racks.Rack] = {}
         self.rack_holders: set[str] = set()
         self.placer = placers.Placer(scheduler=self, rng=rng, policy=policy)
-        self.rack_manager = keepers.RackManager(
+        self.rack_manager = rack_managers.RackManager(
             scheduler=self, dial_peer=dial_peer
         )
         self.stopping = anyio.Event()
@@ -127,7 +127,7 @@
             on_slowdown=self.placer.observe_latency,
             dial_peer=dial_peer,
         )
-        self.canceller = cancels.Canceller(scheduler=self)
+        self.canceller = cancellations.Canceller(scheduler=self)
         self._dial_worker = dial_worker
         self._group: abc.TaskGroup | None = None
 
@@ -136,12 +136,12 @@
         """Availability zone of the scheduler."""
         return self.membership.own.zone
 
-    def not_ready(self) -> str:
+    def unready_reason(self) -> str:
         """Return why the scheduler is not ready; empty if it is."""
         if self.stopping.is_set():
             return "draining"
-        if self.configuration.not_ready():
-            return self.configuration.not_ready()
+        if self.configuration.unready_reason():
+            return self.configuration.unready_reason()
         if not self.membership.is_confirmed():
             return "the term is not held: the platform has not confirmed it"
         return ""
@@ -159,8 +159,8 @@
         return (
             not self.stopping.is_set()
             and self.membership.is_confirmed()
-            and rack.verified_since_s is not None
-            and rack.verified_since_s
+            and rack.verified_term_start_s is not None
+            and rack.verified_term_start_s
             == self.membership.term.unbroken_since_s()
             and self.racks.get(rack.holding.rack) is rack
         )
@@ -246,15 +246,15 @@
         ):
             wakeup = worker.wakeup
             try:
-                await attempts.reconcile(self, rack, worker)
+                await reconciliations.reconcile(self, rack, worker)
             except errors.LinkError as exc:
-                if worker.is_known:
+                if worker.is_connected:
                     _LOG.log(
                         events.WORKER_LOST,
                         worker=worker.name,
                         reason=str(exc),
                     )
-                worker.is_known = False
+                worker.is_connected = False
             except errors.PlatformError:
                 pass
             await anyio.sleep(RECONCILE_PAUSE_S)
@@ -319,7 +319,7 @@
         """Return the status of this scheduler for operators."""
         return {
             "member": self.membership.own,
-            "ready": self.not_ready() or "ready",
+            "ready": self.unready_reason() or "ready",
             "config_version": self.configuration.version,
             "pending": len(self.placer.pending),
             "waiting": self._waiting_reasons(),
@@ -330,7 +330,7 @@
                     "workers": [
                         {
                             "worker": worker.name,
-                            "known": worker.is_known,
+                            "known": worker.is_connected,
                             "leaving": worker.leaving,
                             "free": worker.free,
                             "tasks": sorted(worker.placements),
--- a/wisteriawood/machines/services.py
+++ b/wisteriawood/machines/services.py
@@ -11,9 +11,9 @@
 from wisteriawood.contracts import requests
 from wisteriawood import errors
 from wisteriawood.machines import outliers
+from wisteriawood.machines import request_queues
 from wisteriawood.machines import service_times
 from wisteriawood.machines import targets
-from wisteriawood.machines import waiting_rooms
 from wisteriawood.policies import registry
 from wisteriawood.policies import retrying as retrying_policies
 from wisteriawood.policies.retrying import base as retrying_base
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Ending:
+class AttemptResult:
     """Result of an attempt at a target.
 
     Attributes:
@@ -39,7 +39,7 @@
             working on the request.
     """
 
-    verdict: outliers.Verdict = outliers.Verdict.UNTOLD
+    verdict: outliers.Verdict = outliers.Verdict.INCONCLUSIVE
     latency_s: float = math.nan
     is_done: bool = False
     until_s: float = 0.0
@@ -54,14 +54,14 @@
         policy: Chooses among the targets with a free slot.
         retrying: Decides whether failed requests are retried; None for
             the default policy.
-        room: Pool of request queues, shared with other services.
+        queue_pool: Pool of request queues, shared with other services.
         rng: Source of random numbers.
     """
 
     __slots__ = (
-        "_queue",
-        "_room",
         "_cancel_scopes",
+        "_queue",
+        "_queue_pool",
         "_shed_count",
         "_shed_logged_s",
         "name",
@@ -80,7 +80,7 @@
         name: str,
         policy: routing_base.RoutingPolicy,
         retrying: retrying_base.RetryPolicy | None = None,
-        room: waiting_rooms.WaitingRoom | None = None,
+        queue_pool: request_queues.RequestQueuePool | None = None,
         rng: random.Random | None = None,
     ):
         self.team = team
@@ -93,10 +93,10 @@
         self.retrying = retrying or retrying_base.RETRYING.get(
             retrying_base.DEFAULT
         )(rng=rng)
-        self.outliers = outliers.OutlierWatch(rng=rng)
+        self.outliers = outliers.OutlierDetector(rng=rng)
         self._cancel_scopes: dict[str, set[anyio.CancelScope]] = {}
-        self._room = room or waiting_rooms.WaitingRoom()
-        self._queue = self._room.open_queue(team=team)
+        self._queue_pool = queue_pool or request_queues.RequestQueuePool()
+        self._queue = self._queue_pool.open_queue(team=team)
         self._shed_count = 0
         self._shed_logged_s = -math.inf
 
@@ -105,7 +105,7 @@
         """Number of requests that wait for a slot."""
         return len(self._queue)
 
-    def shares(self) -> list[waiting_rooms.TeamShare]:
+    def shares(self) -> list[request_queues.TeamShare]:
         """Return the waiting and running requests of each calling team."""
         return self._queue.shares()
 
@@ -116,7 +116,7 @@
             for target in self.targets.values()
             if not target.grant.leaving
         )
-        return min(granted, self._room.limit(self.team))
+        return min(granted, self._queue_pool.limit(self.team))
 
     async def acquire(
         self,
@@ -139,7 +139,7 @@
             target = self._choose(request, tried, queued=1)
             if target is not None:
                 return self._occupy_slot(request, target)
-        waiter = waiting_rooms.Waiter(request=request, tried=tried)
+        waiter = request_queues.WaitingRequest(request=request, tried=tried)
         self._admit(waiter)
         left_s = max(0.0, request.deadline_s - anyio.current_time())
         try:
@@ -159,23 +159,23 @@
         self,
         target: targets.Target,
         request: requests.Request,
-        ending: Ending,
+        result: AttemptResult,
     ) -> None:
         """Release a slot and assign it to the next waiting request.
 
         Args:
             target: Target that the slot belongs to.
             request: The request that used the slot.
-            ending: How the attempt ended.
+            result: How the attempt ended.
         """
         self._queue.share(request).in_flight -= 1
-        self._room.give_back(self.team)
-        target.give_back(is_done=ending.is_done, until_s=ending.until_s)
-        if not math.isnan(ending.latency_s):
-            self.times.observe(ending.latency_s)
-            self.policy.observe(target, latency_s=ending.latency_s)
+        self._queue_pool.release_slot(self.team)
+        target.release_slot(is_done=result.is_done, until_s=result.until_s)
+        if not math.isnan(result.latency_s):
+            self.times.observe(result.latency_s)
+            self.policy.observe(target, latency_s=result.latency_s)
         self.outliers.record_ended(
-            target, verdict=ending.verdict, now_s=anyio.current_time()
+            target, verdict=result.verdict, now_s=anyio.current_time()
         )
         self.wake()
 
@@ -195,16 +195,16 @@
             self._queue.remove(waiter)
             waiter.assign(self._occupy_slot(waiter.request, target))
 
-    def tend(self) -> None:
+    def tick(self) -> None:
         """Run periodic work; called several times a second."""
         now_s = anyio.current_time()
-        self.policy.tend()
+        self.policy.tick()
         for target_id in self.outliers.known_ids():
             if target_id not in self.targets:
                 self.outliers.forget(target_id)
                 self._cancel_scopes.pop(target_id, None)
                 self.policy.forget(target_id)
-        for target_id in self.outliers.take_out_stalled(
+        for target_id in self.outliers.eject_stalled(
             self.targets.values(), p99_s=self.times.p99_s, now_s=now_s
         ):
             self._cancel_attempts(target_id)
@@ -268,7 +268,7 @@
 
         Cancels no more attempts than the policy has retries available.
         """
-        if not self.outliers.out(targets_count=len(self.targets)):
+        if not self.outliers.ejected(targets_count=len(self.targets)):
             return
         scopes = list(self._cancel_scopes.get(target_id, ()))
         for scope in scopes[: self.retrying.available()]:
@@ -278,7 +278,7 @@
         self, request: requests.Request, tried: frozenset[str]
     ) -> typing.Iterable[targets.Target]:
         """Return the targets that a request may be sent to."""
-        out = self.outliers.out(targets_count=len(self.targets))
+        out = self.outliers.ejected(targets_count=len(self.targets))
         if not out:
             return self.targets.values()
         if request.request_class == requests.RequestClass.REPEATABLE:
@@ -300,7 +300,7 @@
     def _choose(
         self, request: requests.Request, tried: frozenset[str], *, queued: int
     ) -> targets.Target | None:
-        if not self._room.is_below_limit(self.team):
+        if not self._queue_pool.is_below_limit(self.team):
             return None
         free = []
         busy = []
@@ -322,12 +322,12 @@
     def _occupy_slot(
         self, request: requests.Request, target: targets.Target
     ) -> targets.Target:
-        target.take()
-        self._room.take(self.team)
+        target.acquire_slot()
+        self._queue_pool.acquire_slot(self.team)
         self._queue.share(request).in_flight += 1
         return target
 
-    def _admit(self, waiter: waiting_rooms.Waiter) -> None:
+    def _admit(self, waiter: request_queues.WaitingRequest) -> None:
         """Queue a request if it is likely to get a slot in time."""
         wait_s = self._expected_wait_s(waiter.request)
         left_s = waiter.request.deadline_s - anyio.current_time()
@@ -338,7 +338,7 @@
                 retry_after_s=excess_s,
             )
         self._queue.add(waiter)
-        for refused in self._room.remove_overflow():
+        for refused in self._queue_pool.remove_overflow():
             refused.refuse(
                 self._refusal("the queue is full", retry_after_s=wait_s)
             )
@@ -363,11 +363,11 @@
         left_s = request.deadline_s - anyio.current_time()
         return left_s < self.times.median_s
 
-    def _withdraw(self, waiter: waiting_rooms.Waiter) -> None:
+    def _withdraw(self, waiter: request_queues.WaitingRequest) -> None:
         """Free the queue place or slot of a request that was cancelled."""
         if waiter.target is not None:
-            ending = Ending(is_done=True)
-            self.release(waiter.target, waiter.request, ending)
+            result = AttemptResult(is_done=True)
+            self.release(waiter.target, waiter.request, result)
         elif waiter.refusal is None:
             self._queue.remove(waiter)
 
--- a/wisteriawood/machines/slot_clients.py
+++ b/wisteriawood/machines/slot_clients.py
@@ -15,8 +15,8 @@
 from wisteriawood.links import platforms
 from wisteriawood.machines import announcements
 from wisteriawood.machines import held_racks
+from wisteriawood.machines import late_answer_links
 from wisteriawood.machines import services
-from wisteriawood.machines import slotted_links
 from wisteriawood.machines import targets
 from wisteriawood.telemetry import events
 from wisteriawood.zones import membership
@@ -29,7 +29,7 @@
 # out whether the grantor still holds the rack.
 HOLDING_CHECK_LEAD_S = 3.0
 # Lower bound of the demand in a report, as a share of the previous one.
-DEMAND_KEPT = 0.8
+DEMAND_DECAY_FACTOR = 0.8
 # Must exceed the longest deadline that a caller may request.
 RELEASE_TIMEOUT_S = 65.0
 MAX_TARGET_CONNECTIONS = 256
@@ -39,7 +39,7 @@
 GetService = typing.Callable[[str, str], services.Service]
 
 
-class Session:
+class GrantorSession:
     """State of the reports and updates on one link to a grantor.
 
     Args:
@@ -75,12 +75,12 @@
         "_dead_incarnations",
         "_dial_peer",
         "_dial_target",
-        "_pending_checks",
-        "_linked_schedulers",
         "_get_service",
         "_group",
+        "_linked_schedulers",
         "_members",
         "_on_late_answer",
+        "_pending_checks",
         "_platform",
         "is_draining",
         "racks",
@@ -95,7 +95,7 @@
         dial_peer: typing.Callable,
         dial_target: typing.Callable,
         get_service: GetService,
-        on_late_answer: slotted_links.OnLateAnswer,
+        on_late_answer: late_answer_links.OnLateAnswer,
         get_longest_deadline_s: typing.Callable[[], float],
     ):
         self._platform = platform
@@ -104,7 +104,7 @@
         self._dial_target = dial_target
         self._get_service = get_service
         self._on_late_answer = on_late_answer
-        self._announcement = announcements.Announcement(
+        self._announcement = announcements.RequestTimeAnnouncement(
             members=members, get_longest_deadline_s=get_longest_deadline_s
         )
         self._dead_incarnations: set[str] = set()
@@ -150,17 +150,17 @@
         # platform may be unreachable from the scheduler or from here.
         return [
             name
-            for (role, name), sighting in self._members.sightings.items()
+            for (role, name), found in self._members.observed_members.items()
             if role == holdings.Role.SCHEDULER
-            and sighting.member.zone == self._members.own.zone
-            and sighting.member.state != holdings.HostState.GONE
+            and found.member.zone == self._members.own.zone
+            and found.member.state != holdings.HostState.GONE
         ]
 
     async def _keep_link(self, name: str) -> None:
         """Keep the link to one scheduler open while it is a member."""
         while name in self._schedulers():
             key = (holdings.Role.SCHEDULER, name)
-            member = self._members.sightings[key].member
+            member = self._members.observed_members[key].member
             try:
                 async with self._dial_peer(
                     address=member.peer_address
@@ -183,7 +183,7 @@
             # the row names, so that process is dead.
             self._dead_incarnations.add(member.incarnation)
         _LOG.log(events.PEER_CONNECTED, peer=member.name)
-        session = Session(grantor=hello.member)
+        session = GrantorSession(grantor=hello.member)
         sequence = 0
         while True:
             sequence += 1
@@ -194,12 +194,12 @@
                 raise errors.MessageError(
                     "a slot update answers another report"
                 )
-            self.adopt(session, update, sent_s)
+            self.apply_update(session, update, sent_s)
             if not session.answers:
                 await anyio.sleep(REPORT_PERIOD_S)
 
     def report(
-        self, session: Session, sequence: int, now_s: float
+        self, session: GrantorSession, sequence: int, now_s: float
     ) -> messages.SlotReport:
         """Return the next report to a grantor.
 
@@ -231,7 +231,7 @@
         report.slowdowns = self._slowdowns(session)
         return report
 
-    def _slowdowns(self, session: Session) -> dict[str, float]:
+    def _slowdowns(self, session: GrantorSession) -> dict[str, float]:
         """Return the slowdown of slow targets relative to their peers."""
         names = {
             (target.grant.team, target.grant.service)
@@ -247,7 +247,7 @@
             and self.targets[target_id].rack.name in session.racks
         }
 
-    def _demand(self, session: Session) -> dict[str, float]:
+    def _demand(self, session: GrantorSession) -> dict[str, float]:
         """Return the demands that changed since the last report."""
         found: dict[str, float] = {}
         for target in self.targets.values():
@@ -259,13 +259,16 @@
             before = session.demand.get(name, 0.0)
             demand = float(in_flight + service.waiting)
             # A falling demand is reported gradually, a rising one at once.
-            demand = max(demand, round(DEMAND_KEPT * before, 1))
+            demand = max(demand, round(DEMAND_DECAY_FACTOR * before, 1))
             if demand != before:
                 changed[name] = session.demand[name] = demand
         return changed
 
-    def adopt(
-        self, session: Session, update: messages.SlotUpdate, sent_s: float
+    def apply_update(
+        self,
+        session: GrantorSession,
+        update: messages.SlotUpdate,
+        sent_s: float,
     ) -> None:
         """Apply a grantor's answer to a report.
 
@@ -292,7 +295,9 @@
             if rack.epoch == grant.epoch:
                 self._apply_grant(rack, grant)
 
-    def _answer_claim(self, session: Session, claim: grants.RackClaim) -> None:
+    def _answer_claim(
+        self, session: GrantorSession, claim: grants.RackClaim
+    ) -> None:
         rack = self.racks.get(claim.rack)
         if rack is None:
             rack = self.racks[claim.rack] = held_racks.HeldRack(
@@ -307,7 +312,7 @@
             grants.RackClaim(rack=claim.rack, epoch=rack.epoch)
         )
 
-    def _forget_reported(self, session: Session, rack: str) -> None:
+    def _forget_reported(self, session: GrantorSession, rack: str) -> None:
         for target in self.targets.values():
             if target.rack.name == rack:
                 session.reported.pop(target.id, None)
@@ -335,7 +340,7 @@
             grant=grant, grantor=rack.grantor.name, link=inner
         )
         target.rack = rack
-        target.link = slotted_links.SlottedLink(
+        target.link = late_answer_links.LateAnswerLink(
             inner=inner,
             target=target,
             announcement=self._announcement,
@@ -379,17 +384,17 @@
         if not self._members.watched_since(rack.renewed_s):
             return False
         key = (holdings.Role.SCHEDULER, rack.grantor.name)
-        sighting = self._members.sightings.get(key)
-        if sighting is None:
+        observed = self._members.observed_members.get(key)
+        if observed is None:
             return False
-        if sighting.member.incarnation != rack.grantor.incarnation:
+        if observed.member.incarnation != rack.grantor.incarnation:
             # Another process at the same address proves that the grantor's
             # process is dead.
             address = rack.grantor.peer_address
-            return sighting.member.peer_address == address
-        if sighting.member.state == holdings.HostState.GONE:
+            return observed.member.peer_address == address
+        if observed.member.state == holdings.HostState.GONE:
             return True
-        return sighting.is_lapsed(now_s=self._members.watched_at_s)
+        return observed.is_expired(now_s=self._members.watched_at_s)
 
     async def _check_holding(self, rack: held_racks.HeldRack) -> None:
         """Read from the table whether the grantor still holds the rack."""
--- a/wisteriawood/machines/slot_books.py
+++ b/wisteriawood/machines/slot_ledgers.py
@@ -1,11 +1,11 @@
-"""Slot books: a grantor's record of which entry hosts hold which slots."""
+"""Slot ledgers: a grantor's record of which entry hosts hold which slots."""
 
 from wisteriawood.contracts import grants
 from wisteriawood.contracts import holdings
 from wisteriawood.machines import shares
 
 
-class Holder:
+class SlotHolder:
     """State of a grantor's link to one process of an entry host.
 
     Args:
@@ -41,7 +41,7 @@
         self.renewed: set[str] = set()
 
 
-class SlotBook:
+class SlotLedger:
     """Record of who holds which slots of the targets of one rack.
 
     Args:
@@ -83,7 +83,7 @@
             found = self.targets[name] = shares.TargetShares(target=name)
         return found
 
-    def is_counted(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether all slots that entry hosts may hold are known."""
         return self.unanswered_until_s == {}
 
--- a/wisteriawood/machines/probes.py
+++ b/wisteriawood/machines/slow_starts.py
@@ -10,7 +10,7 @@
 MEASUREMENT_TIMEOUT_S = 15.0
 
 
-class Probes:
+class SlowStart:
     """Limits the tasks of unknown classes that run without a usage report.
 
     Args:
@@ -19,7 +19,7 @@
 
     __slots__ = ("_running", "_sizes")
 
-    def __init__(self, *, learned: sizes.Sizes):
+    def __init__(self, *, learned: sizes.SizeEstimator):
         self._running: dict[str, dict[str, float]] = {}
         self._sizes = learned
 
--- a/wisteriawood/machines/targets.py
+++ b/wisteriawood/machines/targets.py
@@ -24,8 +24,8 @@
     """
 
     __slots__ = (
-        "_quarantined_until_s",
         "_early_ends",
+        "_quarantined_until_s",
         "address",
         "grant",
         "grantor",
@@ -66,11 +66,11 @@
             return False
         return anyio.current_time() < self.usable_until_s()
 
-    def take(self) -> None:
+    def acquire_slot(self) -> None:
         """Acquire a slot for a request that is about to be sent."""
         self.in_flight += 1
 
-    def give_back(self, *, is_done: bool, until_s: float) -> None:
+    def release_slot(self, *, is_done: bool, until_s: float) -> None:
         """Release a slot, or quarantine it while its request may run.
 
         Args:
--- a/wisteriawood/machines/transitions.py
+++ b/wisteriawood/machines/transitions.py
@@ -237,7 +237,7 @@
         reason: Why the attempt failed.
     """
     args = (scheduler, rack, worker, placement)
-    scheduler.placer.note_failure(placement.task.spec.id, worker.name)
+    scheduler.placer.record_failure(placement.task.spec.id, worker.name)
     failures = [*placement.task.failures, worker.name]
     if placement.is_cancelled:
         remove_from_worker(*args, reason)
@@ -260,7 +260,7 @@
         )
 
 
-async def settle(
+async def apply_commit(
     scheduler: "schedulers.Scheduler",
     rack: racks.Rack,
     worker: workers.Worker,
--- a/wisteriawood/machines/workers.py
+++ b/wisteriawood/machines/workers.py
@@ -19,10 +19,10 @@
     Attributes:
         task: The task.
         version: Version of the task's row.
-        counted: Resources allocated to the task.
+        allocated: Resources allocated to the task.
         is_committed: Whether the assignment is committed to the table.
         lease_ends_s: Monotonic time at which the newest lease expires.
-        eviction: Reason of its eviction; empty if it is not to be evicted.
+        eviction_reason: Why it is to be evicted; empty if it is not.
         is_cancelled: Whether an operator cancelled it.
         throttle: Share of its resources that it may use, 0 to 1.
         is_adopted: Whether a former holder of the rack started it.
@@ -41,10 +41,10 @@
 
     task: tasks.Task
     version: int
-    counted: resources.Resources
+    allocated: resources.Resources
     is_committed: bool = False
     lease_ends_s: float = 0.0
-    eviction: str = ""
+    eviction_reason: str = ""
     is_cancelled: bool = False
     throttle: float = 1.0
     is_adopted: bool = False
@@ -60,7 +60,7 @@
 
     def is_unwanted(self) -> bool:
         """Return whether the task is to be stopped on this worker."""
-        return self.is_cancelled or bool(self.eviction)
+        return self.is_cancelled or bool(self.eviction_reason)
 
 
 class Worker:
@@ -77,17 +77,17 @@
     __slots__ = (
         "address",
         "capacity",
+        "clock_offset_s",
         "free",
-        "is_known",
+        "is_connected",
         "leaving",
         "link",
         "name",
         "placements",
         "rack",
-        "strangers",
-        "to_worker_s",
         "unacked_ends_s",
         "unacked_not_after_s",
+        "unknown_attempt_needs",
         "usage",
         "usage_due_s",
         "wakeup",
@@ -108,15 +108,15 @@
         self.capacity = capacity
         self.link = link
         self.free = capacity
-        self.is_known = False
+        self.is_connected = False
         self.leaving = False
         self.placements: dict[str, Placement] = {}
         self.usage: dict[str, workers.UsageReport] = {}
         self.usage_due_s = 0.0
         # Needs of running attempts that match no task row of this scheduler.
-        self.strangers = resources.NOTHING
+        self.unknown_attempt_needs = resources.NOTHING
         # Clock of the worker minus the local one; never above the true offset.
-        self.to_worker_s = 0.0
+        self.clock_offset_s = 0.0
         # For renewals without an answer: the latest time at which one can
         # still take effect, and the latest end of a lease that one may grant.
         self.unacked_not_after_s = 0.0
@@ -135,10 +135,10 @@
         if placement.task.spec.id in self.placements:
             return False
         self.placements[placement.task.spec.id] = placement
-        self.free = self.free - placement.counted
+        self.free = self.free - placement.allocated
         return True
 
-    def count_unacked(
+    def record_unacked_renewal(
         self, not_after_s: float, ends_s: float
     ) -> tuple[float, float]:
         """Record a renewal that is sent, and the longest lease it may grant.
@@ -156,7 +156,7 @@
         self.unacked_ends_s = max(before[1], ends_s)
         return before
 
-    def is_moved(self, address: str) -> bool:
+    def has_new_address(self, address: str) -> bool:
         """Return whether an empty worker has a new address.
 
         Args:
@@ -164,7 +164,7 @@
         """
         return address != self.address and not self.placements
 
-    def see_leaving(self, leaving: bool) -> None:
+    def set_leaving(self, leaving: bool) -> None:
         """Update whether the worker is leaving, and evict its tasks if so.
 
         Args:
@@ -175,21 +175,21 @@
             for task in self.placements:
                 self.order_eviction(task, "its worker is leaving")
 
-    def see_capacity(self, capacity: resources.Resources) -> None:
+    def set_capacity(self, capacity: resources.Resources) -> None:
         """Update the capacity from the worker's own report."""
         if capacity != self.capacity:
             self.free = self.free + capacity - self.capacity
             self.capacity = capacity
 
-    def count_strangers(self, needs: resources.Resources) -> None:
+    def allocate_unknown_attempts(self, needs: resources.Resources) -> None:
         """Allocate resources to attempts without a task row until they stop.
 
         Args:
             needs: Total needs of these attempts.
         """
-        if needs != self.strangers:
-            self.free = self.free + self.strangers - needs
-            self.strangers = needs
+        if needs != self.unknown_attempt_needs:
+            self.free = self.free + self.unknown_attempt_needs - needs
+            self.unknown_attempt_needs = needs
 
     def remove(self, task: str) -> Placement | None:
         """Free the resources of a task that is known to have stopped.
@@ -202,7 +202,7 @@
         """
         placement = self.placements.pop(task, None)
         if placement is not None:
-            self.free = self.free + placement.counted
+            self.free = self.free + placement.allocated
         return placement
 
     def order_eviction(self, task: str, reason: str) -> bool:
@@ -223,8 +223,8 @@
         placement = self.placements.get(task)
         if placement is None:
             return False
-        if not placement.eviction:
-            placement.eviction = reason
+        if not placement.eviction_reason:
+            placement.eviction_reason = reason
             self.wake()
         return True
 
--- a/wisteriawood/platform/fronts.py
+++ b/wisteriawood/platform/fronts.py
@@ -71,7 +71,7 @@
     async def _answer(self, scope, receive) -> Answer:
         path = scope["path"]
         if path == READY_PATH:
-            reason = self._host.not_ready()
+            reason = self._host.unready_reason()
             return (503 if reason else 200, {"reason": reason}, 0)
         if path == METRICS_PATH:
             return 200, metrics.render(self._host.counters.registry), 0
--- a/wisteriawood/policies/eviction/base.py
+++ b/wisteriawood/policies/eviction/base.py
@@ -17,7 +17,7 @@
     Attributes:
         spec: The task.
         worker: Name of its worker.
-        counted: Resources that its eviction frees.
+        allocated: Resources that its eviction frees.
         elapsed_s: Seconds since its attempt was placed.
         harm: Predicted slowdown of services that the task causes, as a
             logarithm.
@@ -25,7 +25,7 @@
 
     spec: tasks.TaskSpec
     worker: str
-    counted: resources.Resources
+    allocated: resources.Resources
     elapsed_s: float = 0.0
     harm: float = 0.0
 
@@ -61,7 +61,9 @@
 DEFAULT = "cheapest-resume"
 
 
-def in_order(policy: EvictionPolicy, victims: list[Victim]) -> list[Victim]:
+def eviction_order(
+    policy: EvictionPolicy, victims: list[Victim]
+) -> list[Victim]:
     """Return tasks in the order of eviction, batch jobs first.
 
     Args:
--- a/wisteriawood/policies/eviction/cheapest_resume.py
+++ b/wisteriawood/policies/eviction/cheapest_resume.py
@@ -29,8 +29,8 @@
 
     def cost(self, victim: base.Victim) -> float:
         """Return the cost in core-seconds, times the weight of the team."""
-        cores = victim.counted.cores
-        memory_gib = victim.counted.memory_bytes / 2**30
+        cores = victim.allocated.cores
+        memory_gib = victim.allocated.memory_bytes / 2**30
         at_risk_s = CHECKPOINT_LOSS_SHARE * victim.elapsed_s
         cost = (
             cores * (RESTART_S + at_risk_s)
--- a/wisteriawood/policies/interference.py
+++ b/wisteriawood/policies/interference.py
@@ -11,7 +11,7 @@
 from wisteriawood.contracts import tasks
 
 # Harm assumed of an aggressor without measurements.
-PRIOR = 0.15
+PRIOR_HARM = 0.15
 # Parts of a correction that the estimate of the aggressor over all victims
 # and the estimate of the pair receive.
 AGGRESSOR_LEARNING_RATE = 0.05
@@ -92,7 +92,7 @@
             aggressor: Class of the neighbour.
             now_s: Monotonic time in seconds.
         """
-        value = self._aggressor_harms.get(aggressor, PRIOR)
+        value = self._aggressor_harms.get(aggressor, PRIOR_HARM)
         found = self._pair_differences.get((victim, aggressor))
         if found is not None:
             value += found[0] * 0.5 ** ((now_s - found[1]) / PAIR_HALF_LIFE_S)
@@ -131,7 +131,7 @@
     def _correct(
         self, victim: str, aggressor: str, step: float, now_s: float
     ) -> None:
-        aggressor_harm = self._aggressor_harms.get(aggressor, PRIOR)
+        aggressor_harm = self._aggressor_harms.get(aggressor, PRIOR_HARM)
         aggressor_harm = min(
             max(aggressor_harm + AGGRESSOR_LEARNING_RATE * step, 0.0), MAX_HARM
         )
--- a/wisteriawood/policies/placement/base.py
+++ b/wisteriawood/policies/placement/base.py
@@ -20,7 +20,7 @@
     Attributes:
         spec: The task.
         needs: Resources to reserve for it.
-        among: Workers to choose from; None for all.
+        candidates: Workers to choose from; None for all.
         avoid: Names of workers on which it failed.
         now_s: Monotonic time in seconds.
         share: Share of its resources that it starts with, 0 to 1.
@@ -29,7 +29,7 @@
 
     spec: tasks.TaskSpec
     needs: resources.Resources
-    among: list[indexes.Entry] | None = None
+    candidates: list[indexes.IndexEntry] | None = None
     avoid: typing.AbstractSet[str] = frozenset()
     now_s: float = 0.0
     share: float = 1.0
@@ -37,7 +37,7 @@
 
     def sample(
         self, index: indexes.WorkerIndex, count: int
-    ) -> list[indexes.Entry]:
+    ) -> list[indexes.IndexEntry]:
         """Return random workers on which the task fits, at least one.
 
         Args:
@@ -45,39 +45,41 @@
             count: Maximum number of workers to return.
 
         Raises:
-            NoRoomError: The task fits on none of them.
+            InsufficientCapacityError: The task fits on none of them.
         """
-        candidates = self.among
+        candidates = self.candidates
         if candidates is None:
             candidates = index.sample(self.needs, count)
         return self._allowed(candidates)
 
-    def scan(self, index: indexes.WorkerIndex) -> list[indexes.Entry]:
+    def scan(self, index: indexes.WorkerIndex) -> list[indexes.IndexEntry]:
         """Return all workers on which the task fits, at least one.
 
         Args:
             index: Index of the workers.
 
         Raises:
-            NoRoomError: The task fits on none of them.
+            InsufficientCapacityError: The task fits on none of them.
         """
-        candidates = self.among
+        candidates = self.candidates
         if candidates is None:
             candidates = index.fitting(self.needs)
         return self._allowed(candidates)
 
-    def _allowed(self, candidates: list[indexes.Entry]) -> list[indexes.Entry]:
+    def _allowed(
+        self, candidates: list[indexes.IndexEntry]
+    ) -> list[indexes.IndexEntry]:
         allowed = [
             entry
             for entry in candidates
             if entry.worker.name not in self.avoid
         ]
         if not allowed:
-            raise no_room_error(self.needs)
+            raise insufficient_capacity_error(self.needs)
         return allowed
 
 
-class NoRoomError(errors.PlacementError):
+class InsufficientCapacityError(errors.PlacementError):
     """No worker that was considered has enough free capacity."""
 
 
@@ -85,14 +87,16 @@
     """The task would slow services by more than their team allows."""
 
 
-def no_room_error(needs: resources.Resources) -> NoRoomError:
+def insufficient_capacity_error(
+    needs: resources.Resources,
+) -> InsufficientCapacityError:
     """Return the error for resources that no worker has free.
 
     Args:
         needs: The resources.
     """
     gib = needs.memory_bytes / 2**30
-    return NoRoomError(
+    return InsufficientCapacityError(
         f"no worker has {needs.cores:.3g} cores, {gib:.3g} GiB and "
         f"{needs.accelerators} accelerators free"
     )
@@ -103,7 +107,7 @@
 
     def choose(
         self, request: Request, index: indexes.WorkerIndex
-    ) -> indexes.Entry:
+    ) -> indexes.IndexEntry:
         """Return a worker on which the task fits.
 
         Args:
@@ -111,7 +115,7 @@
             index: Index of the workers that accept new tasks.
 
         Raises:
-            NoRoomError: The task fits on no worker.
+            InsufficientCapacityError: The task fits on no worker.
             HarmError: It would slow services by more than their team
                 allows.
         """
--- a/wisteriawood/policies/placement/first_fit.py
+++ b/wisteriawood/policies/placement/first_fit.py
@@ -19,6 +19,6 @@
 
     def choose(
         self, request: base.Request, index: indexes.WorkerIndex
-    ) -> indexes.Entry:
+    ) -> indexes.IndexEntry:
         """Return the first worker on which the task fits."""
         return request.scan(index)[0]
--- a/wisteriawood/policies/placement/least_harm.py
+++ b/wisteriawood/policies/placement/least_harm.py
@@ -42,7 +42,7 @@
 UNUSED_CORES_COST = 0.01
 
 
-def ceiling(quota: quotas.Quota) -> float:
+def allowed_log_slowdown(quota: quotas.Quota) -> float:
     """Return the logarithm of the slowdown of its services that a team allows.
 
     Args:
@@ -82,7 +82,7 @@
 
     def choose(
         self, request: base.Request, index: indexes.WorkerIndex
-    ) -> indexes.Entry:
+    ) -> indexes.IndexEntry:
         """Return the worker with the lowest cost from a sample."""
         is_batch = request.spec.kind == tasks.TaskKind.BATCH
         count = SAMPLE_SIZE if is_batch else SERVICE_SAMPLE_SIZE
@@ -104,12 +104,12 @@
     def _cost(
         self,
         request: base.Request,
-        entry: indexes.Entry,
+        entry: indexes.IndexEntry,
         index: indexes.WorkerIndex,
     ) -> float:
         spec = request.spec
         is_batch = spec.kind == tasks.TaskKind.BATCH
-        if is_batch and entry.is_hot and not spec.urgent:
+        if is_batch and entry.has_slowed_services and not spec.urgent:
             return math.inf
         if request.share < 1.0 and not entry.groups:
             # Throttling protects services only; a job that would slow other
@@ -156,7 +156,7 @@
         added: float,
     ) -> float:
         quota = self._quotas.of(other.team)
-        excess = log_slowdown + added - ceiling(quota)
+        excess = log_slowdown + added - allowed_log_slowdown(quota)
         is_batch = request.spec.kind == tasks.TaskKind.BATCH
         if excess > 0 and is_batch and not request.spec.urgent:
             return math.inf
@@ -166,7 +166,7 @@
     def _batch_cost(
         self,
         request: base.Request,
-        entry: indexes.Entry,
+        entry: indexes.IndexEntry,
         load: float,
         own_log_slowdown: float,
         batch_loss: float,
@@ -183,14 +183,14 @@
     def _service_cost(
         self,
         spec: tasks.TaskSpec,
-        entry: indexes.Entry,
+        entry: indexes.IndexEntry,
         index: indexes.WorkerIndex,
         own_log_slowdown: float,
     ) -> float:
         quota = self._quotas.of(spec.team)
-        excess = max(0.0, own_log_slowdown - ceiling(quota))
+        excess = max(0.0, own_log_slowdown - allowed_log_slowdown(quota))
         group = indexes.group_of(spec)
-        in_rack = index.rack_groups.get((entry.worker.rack, group), 0)
+        in_rack = index.rack_group_counts.get((entry.worker.rack, group), 0)
         on_worker = entry.groups.get(group, 0)
         first_cost = 0.0 if entry.groups else FIRST_SERVICE_COST
         return (
@@ -203,11 +203,11 @@
 
     def _log_slowdown(
         self,
-        entry: indexes.Entry,
+        entry: indexes.IndexEntry,
         victim: interference.Neighbour,
         request: base.Request,
     ) -> float:
-        log_slowdown = entry.pressures.get(victim.name)
+        log_slowdown = entry.log_slowdowns.get(victim.name)
         if log_slowdown is None:
             log_slowdown = 0.0
             for other in entry.neighbours.values():
@@ -218,5 +218,5 @@
                 log_slowdown += (
                     harm(victim.name, other.name, request.now_s) * load
                 )
-            entry.pressures[victim.name] = log_slowdown
+            entry.log_slowdowns[victim.name] = log_slowdown
         return log_slowdown
--- a/wisteriawood/policies/placement/least_loaded.py
+++ b/wisteriawood/policies/placement/least_loaded.py
@@ -19,7 +19,7 @@
 
     def choose(
         self, request: base.Request, index: indexes.WorkerIndex
-    ) -> indexes.Entry:
+    ) -> indexes.IndexEntry:
         """Return the worker with the most free cores."""
         return max(
             request.scan(index), key=lambda entry: entry.worker.free.cores
--- a/wisteriawood/policies/placement/random_fit.py
+++ b/wisteriawood/policies/placement/random_fit.py
@@ -24,6 +24,6 @@
 
     def choose(
         self, request: base.Request, index: indexes.WorkerIndex
-    ) -> indexes.Entry:
+    ) -> indexes.IndexEntry:
         """Return a random worker on which the task fits."""
         return self._rng.choice(request.sample(index, SAMPLE_SIZE))
--- a/wisteriawood/policies/retrying/base.py
+++ b/wisteriawood/policies/retrying/base.py
@@ -9,7 +9,7 @@
 class RetryPolicy(typing.Protocol):
     """Decides whether and when failed requests of a service are retried."""
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a successful request."""
 
     def available(self) -> int:
--- a/wisteriawood/policies/retrying/budgeted.py
+++ b/wisteriawood/policies/retrying/budgeted.py
@@ -25,7 +25,7 @@
         self._rng = rng
         self._saved_successes = MAX_SAVED_RETRIES * SUCCESSES_PER_RETRY
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a successful request."""
         limit = MAX_SAVED_RETRIES * SUCCESSES_PER_RETRY
         self._saved_successes = min(limit, self._saved_successes + 1)
--- a/wisteriawood/policies/retrying/never.py
+++ b/wisteriawood/policies/retrying/never.py
@@ -18,7 +18,7 @@
     def __init__(self, *, rng: random.Random):
         pass
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Do nothing."""
 
     def available(self) -> int:
--- a/wisteriawood/policies/routing/base.py
+++ b/wisteriawood/policies/routing/base.py
@@ -38,7 +38,7 @@
     def slowdowns(self) -> dict[str, float]:
         """Return the slow targets by id, with their slowdown factor."""
 
-    def tend(self) -> None:
+    def tick(self) -> None:
         """Update what changes with time; called several times a second."""
 
     def forget(self, target_id: str) -> None:
@@ -68,7 +68,7 @@
         """Return no targets."""
         return {}
 
-    def tend(self) -> None:
+    def tick(self) -> None:
         """Do nothing."""
 
     def forget(self, target_id: str) -> None:
--- a/wisteriawood/policies/routing/interference_aware.py
+++ b/wisteriawood/policies/routing/interference_aware.py
@@ -96,7 +96,7 @@
             return None
         return best
 
-    def tend(self) -> None:
+    def tick(self) -> None:
         """Let slowdowns decay also while no requests arrive."""
         self._update_slowdowns()
 
--- a/wisteriawood/policies/sizes.py
+++ b/wisteriawood/policies/sizes.py
@@ -80,7 +80,7 @@
         self.memory_ratio = QuantileWindow(quantile=1.0)
 
 
-class Sizes:
+class SizeEstimator:
     """Predicts what a task uses from its class and its declared needs.
 
     For each class it records the usage itself and the ratio of the usage to
--- a/wisteriawood/policies/throttling/base.py
+++ b/wisteriawood/policies/throttling/base.py
@@ -7,11 +7,11 @@
 
 # Slowdown of the services, as a logarithm, below which a job is neither
 # throttled nor evicted.
-LEAST_HARM = 0.004
+MIN_HARM = 0.004
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Culprit:
+class Aggressor:
     """A batch job on a worker with services.
 
     Attributes:
@@ -25,7 +25,7 @@
     harm: float
     share: float = 1.0
 
-    def present_harm(self) -> float:
+    def current_harm(self) -> float:
         """Return the slowdown that the job causes at its current share."""
         return self.harm * self.share
 
@@ -38,13 +38,13 @@
         worker: Name of the worker.
         excess: Slowdown of a service divided by the one that its team
             allows, the highest on the worker; above 1 is too much.
-        culprits: Batch jobs on the worker.
+        aggressors: Batch jobs on the worker.
         now_s: Monotonic time in seconds.
     """
 
     worker: str
     excess: float
-    culprits: list[Culprit]
+    aggressors: list[Aggressor]
     now_s: float
 
 
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Verdict:
+class Decision:
     """What to do on a worker.
 
     Attributes:
@@ -77,7 +77,7 @@
 class ThrottlingPolicy(typing.Protocol):
     """Decides which jobs to limit on workers with slowed services."""
 
-    def decide(self, view: WorkerView) -> Verdict:
+    def decide(self, view: WorkerView) -> Decision:
         """Return what to do on a worker.
 
         Args:
--- a/wisteriawood/policies/throttling/never.py
+++ b/wisteriawood/policies/throttling/never.py
@@ -14,18 +14,18 @@
     def __init__(self):
         self._slowed_since_s: dict[str, float] = {}
 
-    def decide(self, view: base.WorkerView) -> base.Verdict:
+    def decide(self, view: base.WorkerView) -> base.Decision:
         """Return whether to evict a job."""
-        if view.excess <= 1.0 or not view.culprits:
+        if view.excess <= 1.0 or not view.aggressors:
             self._slowed_since_s.pop(view.worker, None)
-            return base.Verdict()
+            return base.Decision()
         slowed_since_s = self._slowed_since_s.setdefault(
             view.worker, view.now_s
         )
         if view.now_s - slowed_since_s < EVICT_AFTER_S:
-            return base.Verdict()
+            return base.Decision()
         del self._slowed_since_s[view.worker]
-        return base.Verdict(evict=True)
+        return base.Decision(evict=True)
 
     def forget(self, worker: str) -> None:
         """Discard the state of a worker that was removed."""
--- a/wisteriawood/policies/throttling/step_down.py
+++ b/wisteriawood/policies/throttling/step_down.py
@@ -9,7 +9,7 @@
 REPORT_LAG_S = 6.0
 # Factor by which one step reduces the share of a job.
 STEP_FACTOR = 0.5
-LEAST_SHARE = 0.125
+MIN_SHARE = 0.125
 # Excess below which the services have recovered.
 RECOVERED_EXCESS = 0.98
 # Bounds of the time without slowdown that must pass before a release.
@@ -64,7 +64,7 @@
         """Discard the state of a worker that was removed."""
         self._states.pop(worker, None)
 
-    def decide(self, view: base.WorkerView) -> base.Verdict:
+    def decide(self, view: base.WorkerView) -> base.Decision:
         """Return the next step on a worker, if one is due."""
         state = self._states.setdefault(view.worker, WorkerState())
         now_s = view.now_s
@@ -78,7 +78,7 @@
                 state.max_excess = 0.0
         state.max_excess = max(state.max_excess, view.excess)
         if now_s - state.acted_at_s < REPORT_LAG_S:
-            return base.Verdict()
+            return base.Decision()
         if state.slowed_since_s and view.excess > 1.0:
             return self._throttle(state, view)
         if (
@@ -86,44 +86,44 @@
             and now_s - state.recovered_since_s >= state.hold_s
         ):
             return self._release(state, view)
-        return base.Verdict()
+        return base.Decision()
 
     def _throttle(
         self, state: WorkerState, view: base.WorkerView
-    ) -> base.Verdict:
+    ) -> base.Decision:
         if view.now_s - state.released_at_s < RELAPSE_S:
             state.hold_s = min(2 * state.hold_s, MAX_HOLD_S)
             state.released_at_s = -1e9
         harmful = [
-            culprit
-            for culprit in view.culprits
-            if culprit.present_harm() >= base.LEAST_HARM
+            aggressor
+            for aggressor in view.aggressors
+            if aggressor.current_harm() >= base.MIN_HARM
         ]
         reducible = [
-            culprit for culprit in harmful if culprit.share > LEAST_SHARE
+            aggressor for aggressor in harmful if aggressor.share > MIN_SHARE
         ]
         if reducible:
             state.acted_at_s = view.now_s
-            return base.Verdict(
+            return base.Decision(
                 throttles=_next_throttles(reducible, view.excess)
             )
         if harmful and view.now_s - state.slowed_since_s >= EVICT_AFTER_S:
             state.acted_at_s = view.now_s
-            return base.Verdict(evict=True)
+            return base.Decision(evict=True)
         # None of the batch jobs here causes the slowdown.
-        return base.Verdict()
+        return base.Decision()
 
     def _release(
         self, state: WorkerState, view: base.WorkerView
-    ) -> base.Verdict:
+    ) -> base.Decision:
         throttled = [
-            culprit for culprit in view.culprits if culprit.share < 1.0
+            aggressor for aggressor in view.aggressors if aggressor.share < 1.0
         ]
         if not throttled:
             state.hold_s = max(MIN_HOLD_S, state.hold_s / 2)
             state.recovered_since_s = view.now_s
-            return base.Verdict()
-        least_harmful = min(throttled, key=base.Culprit.present_harm)
+            return base.Decision()
+        least_harmful = min(throttled, key=base.Aggressor.current_harm)
         share = min(1.0, least_harmful.share / STEP_FACTOR)
         added = least_harmful.harm * (share - least_harmful.share)
         if math.log(max(state.max_excess, 0.01)) + added > 0:
@@ -131,16 +131,16 @@
             # period.
             state.recovered_since_s = view.now_s
             state.max_excess = 0.0
-            return base.Verdict()
+            return base.Decision()
         state.acted_at_s = state.released_at_s = view.now_s
         state.recovered_since_s = state.max_excess = 0.0
-        return base.Verdict(
+        return base.Decision(
             throttles=[base.Throttle(task=least_harmful.task, share=share)]
         )
 
 
 def _next_throttles(
-    reducible: list[base.Culprit], excess: float
+    reducible: list[base.Aggressor], excess: float
 ) -> list[base.Throttle]:
     """Return one step for each of the most harmful jobs.
 
@@ -151,12 +151,12 @@
     """
     remaining = math.log(excess)
     steps = []
-    for culprit in sorted(
-        reducible, key=base.Culprit.present_harm, reverse=True
+    for aggressor in sorted(
+        reducible, key=base.Aggressor.current_harm, reverse=True
     ):
         if steps and remaining <= 0:
             break
-        share = max(LEAST_SHARE, culprit.share * STEP_FACTOR)
-        remaining -= culprit.harm * (culprit.share - share)
-        steps.append(base.Throttle(task=culprit.task, share=share))
+        share = max(MIN_SHARE, aggressor.share * STEP_FACTOR)
+        remaining -= aggressor.harm * (aggressor.share - share)
+        steps.append(base.Throttle(task=aggressor.task, share=share))
     return steps
--- a/wisteriawood/tests/builders.py
+++ b/wisteriawood/tests/builders.py
@@ -28,9 +28,9 @@
 from wisteriawood.links import workers as worker_links
 from wisteriawood.machines import allocators
 from wisteriawood.machines import dispatchers
+from wisteriawood.machines import request_queues
 from wisteriawood.machines import services
 from wisteriawood.machines import targets
-from wisteriawood.machines import waiting_rooms
 from wisteriawood.machines import workers
 from wisteriawood.policies import registry
 from wisteriawood.policies import routing
@@ -258,9 +258,9 @@
     )
 
 
-def make_room(*, weights=None, **fields):
+def make_queue_pool(*, weights=None, **fields):
     """Return places for waiting requests."""
-    return waiting_rooms.WaitingRoom(weights=weights, **fields)
+    return request_queues.RequestQueuePool(weights=weights, **fields)
 
 
 def make_rng():
@@ -276,7 +276,7 @@
     }
     values.update(fields)
     worker = workers.Worker(name=name, rack=rack, link=link, **values)
-    worker.is_known = True
+    worker.is_connected = True
     return worker
 
 
@@ -305,14 +305,14 @@
     return allocator.queue.add(task, version=1, now_s=now_s)
 
 
-def place_on(worker, spec, *, counted=None):
+def place_on(worker, spec, *, allocated=None):
     """Put a running task on a worker and return its placement."""
     placement = workers.Placement(
         task=tasks.Task(
             spec=spec, zone="linz-a", state=tasks.TaskState.RUNNING
         ),
         version=1,
-        counted=counted or spec.needs,
+        allocated=allocated or spec.needs,
         is_committed=True,
     )
     worker.add(placement)
--- a/wisteriawood/tests/commands_tests.py
+++ b/wisteriawood/tests/commands_tests.py
@@ -235,9 +235,11 @@
             await drains.order(world.platform, "entry", "linz-a-10")
             await drains.order(world.platform, "worker", "worker-1")
             await anyio.sleep(5)
-            not_ready = {n: e.not_ready() for n, e in entries.items()}
-            self.assertIn("operator", not_ready["linz-a-10"])
-            self.assertNotIn("operator", not_ready["linz-a-1"])
+            unready_reasons = {
+                n: e.unready_reason() for n, e in entries.items()
+            }
+            self.assertIn("operator", unready_reasons["linz-a-10"])
+            self.assertNotIn("operator", unready_reasons["linz-a-1"])
             spec = builders.make_spec()
             await jobs.submit(world.platform, [spec], zone="linz-a")
             await anyio.sleep(20)
--- a/wisteriawood/tests/configuration_tests.py
+++ b/wisteriawood/tests/configuration_tests.py
@@ -171,7 +171,7 @@
             scheduler = world.add_scheduler(builders.make_member())
             await anyio.sleep(10)
             for machine in (entry, scheduler):
-                self.assertIn("no configuration", machine.not_ready())
+                self.assertIn("no configuration", machine.unready_reason())
             with self.assertRaises(errors.RequestNotRunError):
                 await entry.serve(builders.make_request())
 
--- a/wisteriawood/tests/faults/proofs_tests.py
+++ b/wisteriawood/tests/faults/proofs_tests.py
@@ -15,7 +15,7 @@
 from wisteriawood import errors
 from wisteriawood.links import platforms
 from wisteriawood.links import workers as worker_links
-from wisteriawood.machines import cancels
+from wisteriawood.machines import cancellations
 from wisteriawood.machines import leases
 from wisteriawood.machines import monitors
 from wisteriawood.machines import schedulers
@@ -83,7 +83,7 @@
 async def _claim_without_waiting(platform, own, claim):
     rack = await _claim(platform, own, claim)
     if rack is not None:
-        rack.adopted_until_s = anyio.current_time()
+        rack.former_leases_until_s = anyio.current_time()
     return rack
 
 
@@ -103,7 +103,7 @@
     added = _add(worker, placement)
     if placement.is_adopted:
         worker.free = free
-        placement.counted = worker.free - worker.free
+        placement.allocated = worker.free - worker.free
     return added
 
 
@@ -157,7 +157,7 @@
         self._check(
             "worker cut off 40 s",
             "running",
-            mock.patch.object(leases, "is_lapsed", lambda *_args: True),
+            mock.patch.object(leases, "is_expired", lambda *_args: True),
             breach="while",
         )
 
@@ -211,7 +211,9 @@
             "cancelled and scheduler killed",
             "running",
             mock.patch.object(
-                cancels.Canceller, "_cancel_placed", _mark_and_delete_requests
+                cancellations.Canceller,
+                "_cancel_placed",
+                _mark_and_delete_requests,
             ),
             run_s=2000.0,
             breach="still runs",
--- a/wisteriawood/tests/faults/request_proofs_tests.py
+++ b/wisteriawood/tests/faults/request_proofs_tests.py
@@ -17,8 +17,8 @@
 from wisteriawood.machines import grantors
 from wisteriawood.machines import racks
 from wisteriawood.machines import run_once
-from wisteriawood.machines import slot_books
 from wisteriawood.machines import slot_clients
+from wisteriawood.machines import slot_ledgers
 from wisteriawood.machines import targets
 from wisteriawood.tests.faults import request_invariants
 from wisteriawood.tests.faults import request_worlds
@@ -56,7 +56,7 @@
     return host
 
 
-_ORIGINAL_UPDATE_TARGET = racks.Rack.see_target
+_ORIGINAL_UPDATE_TARGET = racks.Rack.update_target
 
 
 async def _skip_wait(*_args):
@@ -84,26 +84,26 @@
         )
         self.assertEqual([], enabled)
 
-    def check_cell(self, invariant, fault, step, *mechanisms):
+    def check_fault(self, invariant, fault, step, *mechanisms):
         async def _scenario(world):
             await requests_tests.play(world, fault, step)
 
         self.check_proof(invariant, _scenario, *mechanisms)
 
     def test_slot_of_late_target_stays_quarantined(self):
-        self.check_cell(
+        self.check_fault(
             request_invariants.slots_kept,
             "target answers late, after the deadline",
             "sent",
-            (targets.Target, "give_back", _release_at_once),
+            (targets.Target, "release_slot", _release_at_once),
         )
 
     def test_new_grantor_waits_for_all_slot_reports(self):
-        self.check_cell(
+        self.check_fault(
             request_invariants.slots_kept,
             "two: grantor killed, entry host cut from its successor",
             "queued",
-            (slot_books.SlotBook, "is_counted", lambda book: True),
+            (slot_ledgers.SlotLedger, "is_complete", lambda ledger: True),
         )
 
     def test_grantor_with_interrupted_term_reclaims_no_slots(self):
@@ -135,15 +135,15 @@
             _scenario,
             (
                 grantors.Grantor,
-                "_may_take_back",
+                "_may_reclaim_slots",
                 lambda grantor, holder, now_s: (
-                    now_s - holder.updated_s > grantors.TAKE_BACK_S
+                    now_s - holder.updated_s > grantors.RECLAIM_SLOTS_AFTER_S
                 ),
             ),
         )
 
     def test_answer_to_another_request_is_rejected(self):
-        self.check_cell(
+        self.check_fault(
             request_invariants.own_answers,
             "target answers out of order",
             "sent",
@@ -151,7 +151,7 @@
         )
 
     def test_request_that_ran_is_not_reported_as_not_run(self):
-        self.check_cell(
+        self.check_fault(
             request_invariants.not_run_is_true,
             "target answers half",
             "sent",
@@ -159,7 +159,7 @@
         )
 
     def test_request_with_repeated_key_runs_once(self):
-        self.check_cell(
+        self.check_fault(
             request_invariants.once_at_most,
             "target answers half",
             "sent",
@@ -167,15 +167,15 @@
         )
 
     def test_leaving_target_gets_no_new_requests(self):
-        self.check_cell(
+        self.check_fault(
             request_invariants.leaving_left_alone,
             "target leaving",
             "sent",
-            (racks.Rack, "see_target", _ignore_leaving),
+            (racks.Rack, "update_target", _ignore_leaving),
         )
 
     def test_drain_interrupts_no_requests(self):
-        self.check_cell(
+        self.check_fault(
             request_invariants.drain_cuts_nothing,
             "entry host drained",
             "half answered",
--- a/wisteriawood/tests/faults/requests_tests.py
+++ b/wisteriawood/tests/faults/requests_tests.py
@@ -81,7 +81,7 @@
 
 class RequestMatrixTests(unittest.TestCase):
 
-    def check_cell(self, fault, step):
+    def check_fault(self, fault, step):
         why = IMPOSSIBLE.get((fault, step))
         if why:
             show(f"{fault} | {step} | can't occur: {why}")
@@ -104,4 +104,4 @@
         ]
         for fault, step in cells[::STRIDE]:
             with self.subTest(fault=fault, step=step):
-                self.check_cell(fault, step)
+                self.check_fault(fault, step)
--- a/wisteriawood/tests/interference_tests.py
+++ b/wisteriawood/tests/interference_tests.py
@@ -13,12 +13,12 @@
 
 
 def _view(excess, shares, *, now_s, harm=0.1):
-    culprits = [
-        throttling_base.Culprit(task=task, harm=harm, share=share)
+    aggressors = [
+        throttling_base.Aggressor(task=task, harm=harm, share=share)
         for task, share in shares.items()
     ]
     return throttling_base.WorkerView(
-        worker="w", excess=excess, culprits=culprits, now_s=now_s
+        worker="w", excess=excess, aggressors=aggressors, now_s=now_s
     )
 
 
@@ -50,7 +50,7 @@
         for now_s in range(200):
             estimates.observe("a", [noisy], slowdown=1.8, now_s=now_s)
         new = estimates.harm("b", "noisy", 200.0)
-        self.assertGreater(new, 2 * interference.PRIOR)
+        self.assertGreater(new, 2 * interference.PRIOR_HARM)
         self.assertLess(new, estimates.harm("a", "noisy", 200.0))
 
     def test_learned_harm_decays(self):
@@ -68,7 +68,7 @@
     def test_worst_job_is_throttled_first_and_then_observed(self):
         policy = step_down.StepDown()
         view = _view(1.05, {"a": 1.0, "b": 1.0}, now_s=10.0)
-        view.culprits[1].harm = 0.4
+        view.aggressors[1].harm = 0.4
         (order,) = policy.decide(view).throttles
         self.assertEqual(("b", 0.5), (order.task, order.share))
         view.now_s = 12.0
@@ -78,21 +78,21 @@
         policy = step_down.StepDown()
         shares = {"a": 1.0}
         for now_s in range(60):
-            verdict = policy.decide(_view(1.2, shares, now_s=float(now_s)))
-            for order in verdict.throttles:
+            decision = policy.decide(_view(1.2, shares, now_s=float(now_s)))
+            for order in decision.throttles:
                 shares[order.task] = order.share
-            if verdict.evict:
+            if decision.evict:
                 break
-        self.assertEqual({"a": step_down.LEAST_SHARE}, shares)
+        self.assertEqual({"a": step_down.MIN_SHARE}, shares)
         self.assertGreaterEqual(now_s, step_down.EVICT_AFTER_S)
 
     def test_batch_that_is_not_the_cause_is_not_limited(self):
         policy = step_down.StepDown()
         for now_s in range(120):
             view = _view(1.3, {"a": 1.0}, now_s=float(now_s), harm=0.001)
-            verdict = policy.decide(view)
-            self.assertEqual([], verdict.throttles)
-            self.assertFalse(verdict.evict)
+            decision = policy.decide(view)
+            self.assertEqual([], decision.throttles)
+            self.assertFalse(decision.evict)
 
     def test_throttling_does_not_oscillate_around_the_limit(self):
         rng = random.Random(7)
@@ -125,7 +125,7 @@
     def _victim(self, id, *, kind=tasks.TaskKind.BATCH, **fields):
         spec = builders.make_spec(id=id, kind=kind)
         return eviction_base.Victim(
-            spec=spec, worker="w", counted=spec.needs, **fields
+            spec=spec, worker="w", allocated=spec.needs, **fields
         )
 
     def test_no_policy_evicts_a_watcher_before_batch(self):
@@ -139,7 +139,7 @@
                 self._victim("old", elapsed_s=9000.0),
                 self._victim("new", elapsed_s=1.0),
             ]
-            ordered = eviction_base.in_order(policy, victims)
+            ordered = eviction_base.eviction_order(policy, victims)
             with self.subTest(policy=name):
                 self.assertEqual("watcher", ordered[-1].spec.id)
                 if name != "random":
@@ -157,7 +157,9 @@
         )
         builders.enqueue(allocator, urgent)
         allocator.place(now_s=1.0)
-        ordered = [t for t, p in worker.placements.items() if p.eviction]
+        ordered = [
+            t for t, p in worker.placements.items() if p.eviction_reason
+        ]
         self.assertEqual(["t-1"], ordered)
 
     def test_classes_that_are_not_resumable_are_not_evicted(self):
@@ -172,7 +174,7 @@
         urgent = builders.make_spec(id="u", urgent=True, needs=needs)
         builders.enqueue(allocator, urgent)
         allocator.place(now_s=1.0)
-        self.assertEqual("", worker.placements["k"].eviction)
+        self.assertEqual("", worker.placements["k"].eviction_reason)
 
 
 class MonitorTests(unittest.TestCase):
--- a/wisteriawood/tests/operators_tests.py
+++ b/wisteriawood/tests/operators_tests.py
@@ -69,7 +69,7 @@
                 await builders.put_member(platform, member)
             await jobs.submit(platform, [builders.make_spec()], zone="linz-a")
             task = await jobs.find(platform, "task-1")
-            with mock.patch.object(operators, "ask_why", _answer):
+            with mock.patch.object(operators, "ask_waiting_reason", _answer):
                 return await explain._ask_why(platform, task)
 
         return anyio.run(_main)
--- a/wisteriawood/tests/placement_tests.py
+++ b/wisteriawood/tests/placement_tests.py
@@ -6,7 +6,7 @@
 from wisteriawood.contracts import tasks
 from wisteriawood.machines import indexes
 from wisteriawood.machines import monitors
-from wisteriawood.machines import probes
+from wisteriawood.machines import slow_starts
 from wisteriawood.policies import interference
 from wisteriawood.policies.placement import base
 from wisteriawood.policies import sizes
@@ -82,7 +82,9 @@
 class PlacementTests(unittest.TestCase):
 
     def setUp(self):
-        patcher = mock.patch.object(probes, "MAX_UNMEASURED_TASKS", 10_000)
+        patcher = mock.patch.object(
+            slow_starts, "MAX_UNMEASURED_TASKS", 10_000
+        )
         patcher.start()
         self.addCleanup(patcher.stop)
 
@@ -123,7 +125,7 @@
     def test_leaving_unknown_and_failed_workers_get_no_tasks(self):
         workers = builders.make_workers(4)
         workers[0].leaving = True
-        workers[1].is_known = False
+        workers[1].is_connected = False
         allocator = builders.make_allocator(workers)
         waiting = builders.enqueue(allocator, builders.make_spec())
         waiting.task.failures = ["worker-2"]
@@ -189,7 +191,7 @@
 
     def test_declared_sizes_wrong_by_ten_times_are_corrected(self):
         for factors in ((10.0,), (0.1,), (0.1, 10.0)):
-            learned = sizes.Sizes()
+            learned = sizes.SizeEstimator()
             self._learn(learned, factors=factors)
             for factor in factors:
                 declared = builders.make_resources(
@@ -202,7 +204,7 @@
                     self.assertLess(predicted.memory_bytes, 11 * GIB)
 
     def test_declared_size_is_used_with_few_samples(self):
-        learned = sizes.Sizes()
+        learned = sizes.SizeEstimator()
         self._learn(learned, factors=(10.0,), count=3)
         declared = builders.make_resources(cores=40.0)
         self.assertIs(declared, learned.predict("c", declared))
@@ -218,7 +220,7 @@
         for spec in specs:
             builders.enqueue(allocator, spec)
         self.assertEqual(
-            probes.MAX_UNMEASURED_TASKS, len(allocator.place(now_s=0.0))
+            slow_starts.MAX_UNMEASURED_TASKS, len(allocator.place(now_s=0.0))
         )
         self.assertEqual([], allocator.place(now_s=1.0))
         for now_s in (2.0, 3.0):
@@ -245,6 +247,8 @@
                 for spec in specs
             ]
             monitor.observe(worker, reports, now_s=now_s)
-        evicted = [task for task, p in worker.placements.items() if p.eviction]
+        evicted = [
+            task for task, p in worker.placements.items() if p.eviction_reason
+        ]
         self.assertEqual(1, len(evicted))
         self.assertNotIn("w", evicted)
--- a/wisteriawood/tests/queues_tests.py
+++ b/wisteriawood/tests/queues_tests.py
@@ -7,7 +7,7 @@
 from wisteriawood.contracts import tasks
 from wisteriawood.links import jobs
 from wisteriawood.machines import probations
-from wisteriawood.machines import probes
+from wisteriawood.machines import slow_starts
 from wisteriawood.tests import builders
 
 
@@ -32,7 +32,9 @@
 
     def setUp(self):
         # Most tests do not cover the slow start of new classes.
-        patcher = mock.patch.object(probes, "MAX_UNMEASURED_TASKS", 10_000)
+        patcher = mock.patch.object(
+            slow_starts, "MAX_UNMEASURED_TASKS", 10_000
+        )
         patcher.start()
         self.addCleanup(patcher.stop)
 
@@ -161,7 +163,7 @@
                 continue
             for worker in workers:
                 for task_id, placement in list(worker.placements.items()):
-                    if placement.eviction:
+                    if placement.eviction_reason:
                         self.assertEqual("borrower", placement.task.spec.team)
                         worker.remove(task_id)
                         evicted += 1
--- a/wisteriawood/tests/retrying_tests.py
+++ b/wisteriawood/tests/retrying_tests.py
@@ -70,7 +70,7 @@
     async def _run_ticks(self, service):
         while True:
             await anyio.sleep(0.1)
-            service.tend()
+            service.tick()
 
     def test_outcome_is_unknown_after_an_attempt_of_unknown_outcome(self):
         async def _check():
@@ -162,7 +162,7 @@
                             deadline_s=anyio.current_time() + 0.005
                         )
                     )
-            self.assertEqual({}, service.outliers.out(targets_count=10))
+            self.assertEqual({}, service.outliers.ejected(targets_count=10))
             self.assertTrue(bad.link.sent and good.link.sent)
 
         builders.run_virtual(_check)
@@ -174,6 +174,6 @@
                 target.link.status = 500
             for _ in range(50):
                 await dispatcher.dispatch(builders.make_request())
-            self.assertEqual({}, service.outliers.out(targets_count=2))
+            self.assertEqual({}, service.outliers.ejected(targets_count=2))
 
         builders.run_virtual(_check)
--- a/wisteriawood/tests/routing_tests.py
+++ b/wisteriawood/tests/routing_tests.py
@@ -155,4 +155,4 @@
     async def _run_ticks(self, service):
         while True:
             await anyio.sleep(0.1)
-            service.tend()
+            service.tick()
--- a/wisteriawood/tests/services_tests.py
+++ b/wisteriawood/tests/services_tests.py
@@ -28,10 +28,10 @@
             return
         self.order.append(request.id)
         await anyio.sleep(service_s)
-        ending = services.Ending(
+        result = services.AttemptResult(
             verdict=outliers.Verdict.GOOD, latency_s=service_s, is_done=True
         )
-        service.release(target, request, ending)
+        service.release(target, request, result)
 
     async def _serve_all(self, service, found, **kwargs):
         async with anyio.create_task_group() as group:
@@ -67,9 +67,13 @@
 
     def test_flooding_team_does_not_use_the_share_of_others(self):
         async def _check():
-            room = builders.make_room(weights={"flood": 1.0, "calm": 1.0})
+            queue_pool = builders.make_queue_pool(
+                weights={"flood": 1.0, "calm": 1.0}
+            )
             target = builders.make_target(slots=2)
-            service = builders.make_service(targets=[target], room=room)
+            service = builders.make_service(
+                targets=[target], queue_pool=queue_pool
+            )
             found = [
                 builders.make_request(
                     id=f"flood-{n}",
@@ -95,13 +99,15 @@
     def test_full_queue_refuses_the_team_with_most_waiting_requests(self):
         async def _check():
             weights = {"vitrinenklima": 1.0, "kroupa": 1.0}
-            room = builders.make_room(max_waiting=10, weights=weights)
-            service = builders.make_service(room=room)
+            queue_pool = builders.make_queue_pool(
+                max_waiting=10, weights=weights
+            )
+            service = builders.make_service(queue_pool=queue_pool)
             other = services.Service(
                 team="kroupa",
                 name="shop",
                 policy=service.policy,
-                room=room,
+                queue_pool=queue_pool,
             )
             async with anyio.create_task_group() as group:
                 for number in range(20):
@@ -123,14 +129,18 @@
 
     def test_request_in_flight_keeps_its_share_when_weights_change(self):
         async def _check():
-            room = builders.make_room()
+            queue_pool = builders.make_queue_pool()
             target = builders.make_target(slots=1)
-            service = builders.make_service(targets=[target], room=room)
+            service = builders.make_service(
+                targets=[target], queue_pool=queue_pool
+            )
             request = builders.make_request(caller="kroupa")
             await service.acquire(request)
-            room.set_quotas(weights={"kroupa": 2.0}, limits={})
-            service.release(target, request, services.Ending(is_done=True))
-            queue = room.open_queue(team="kroupa")
+            queue_pool.set_quotas(weights={"kroupa": 2.0}, limits={})
+            service.release(
+                target, request, services.AttemptResult(is_done=True)
+            )
+            queue = queue_pool.open_queue(team="kroupa")
             self.assertEqual(2.0, queue.share(_fresh()).weight)
             for share in service.shares():
                 self.assertEqual(0, share.in_flight)
@@ -142,11 +152,12 @@
 
     def test_team_stays_within_its_limit_in_all_its_services(self):
         async def _check():
-            room = builders.make_room()
-            room.set_quotas(weights={}, limits={"vitrinenklima": 3})
+            queue_pool = builders.make_queue_pool()
+            queue_pool.set_quotas(weights={}, limits={"vitrinenklima": 3})
             found = [
                 builders.make_service(
-                    targets=[builders.make_target(id=name)], room=room
+                    targets=[builders.make_target(id=name)],
+                    queue_pool=queue_pool,
                 )
                 for name in ("one", "other")
             ]
@@ -181,16 +192,16 @@
             }
             await configurations.apply(world.platform, document, base=0)
             await anyio.sleep(3)
-            self.assertEqual(7, entry.room.limit("kroupa"))
-            self.assertEqual(math.inf, entry.room.limit("vitrinenklima"))
-            self.assertEqual(3.0, entry.room.weights["kroupa"])
+            self.assertEqual(7, entry.queue_pool.limit("kroupa"))
+            self.assertEqual(math.inf, entry.queue_pool.limit("vitrinenklima"))
+            self.assertEqual(3.0, entry.queue_pool.weights["kroupa"])
 
         builders.run_world(_check)
 
     def test_size_of_waiting_bodies_is_bounded(self):
         async def _check():
-            room = builders.make_room(max_waiting_bytes=1000)
-            service = builders.make_service(room=room)
+            queue_pool = builders.make_queue_pool(max_waiting_bytes=1000)
+            service = builders.make_service(queue_pool=queue_pool)
             async with anyio.create_task_group() as group:
                 for number in range(20):
                     request = builders.make_request(
@@ -248,7 +259,9 @@
             with anyio.move_on_after(0.1):
                 await service.acquire(builders.make_request(id="gone"))
             self.assertEqual(0, service.waiting)
-            service.release(target, first, services.Ending(is_done=True))
+            service.release(
+                target, first, services.AttemptResult(is_done=True)
+            )
             self.assertEqual(0, target.in_flight)
 
         builders.run_virtual(_check)
@@ -274,7 +287,9 @@
                 )
                 await anyio.sleep(0.1)
                 scope.cancel()
-                service.release(target, first, services.Ending(is_done=True))
+                service.release(
+                    target, first, services.AttemptResult(is_done=True)
+                )
             self.assertEqual(0, target.in_flight)
 
         builders.run_virtual(_check)
@@ -291,7 +306,9 @@
                     request = builders.make_request(id=str(number))
                     group.start_soon(self._serve, service, request)
                 await anyio.sleep(0.1)
-                service.release(target, first, services.Ending(is_done=True))
+                service.release(
+                    target, first, services.AttemptResult(is_done=True)
+                )
                 self.assertEqual(99, service.waiting)
                 await anyio.sleep(0.1)
                 self.assertEqual(1, len(self.order))
@@ -331,7 +348,7 @@
             await anyio.sleep(0.1)
             for target in service.targets.values():
                 target.end_quarantines(now_s=anyio.current_time())
-            service.tend()
+            service.tick()
 
     def test_frozen_target_loses_no_answer_and_no_slot_is_exceeded(self):
         async def _check(world):
--- a/wisteriawood/zones/claims.py
+++ b/wisteriawood/zones/claims.py
@@ -49,7 +49,7 @@
 
 def find_claim(
     watcher: membership.Membership, name: str, row: platforms.Row | None
-) -> "Claim | None":
+) -> "ClaimProposal | None":
     """Return the claim that this scheduler may make on a rack, if any.
 
     A holder's term is over once its member row has been seen unchanged for
@@ -64,26 +64,26 @@
     holding = holdings.RackHolding(zone=watcher.own.zone, rack=name)
     if row is not None:
         holding = rows.from_value(row.value, holdings.RackHolding)
-    claim = Claim(holding=holding, version=row.version if row else 0)
+    claim = ClaimProposal(holding=holding, version=row.version if row else 0)
     if holding.incarnation == watcher.own.incarnation:
         # An earlier claim of ours whose tasks could not be read.
         claim.lease_left_s = terms.HORIZON_S + terms.DRIFT_MARGIN_S
-        claim.rival_s = claim.lease_left_s
+        claim.former_renews_s = claim.lease_left_s
         return claim
     if not is_preferred(watcher, name):
         return None
     if not holding.holder:
         if holding.epoch:
-            claim.rival_s = holding.lease_left_s + terms.DRIFT_MARGIN_S
-            claim.lease_left_s = claim.rival_s
+            claim.former_renews_s = holding.lease_left_s + terms.DRIFT_MARGIN_S
+            claim.lease_left_s = claim.former_renews_s
         return claim
     key = (holdings.Role.SCHEDULER, holding.holder)
-    sighting = watcher.sightings.get(key)
-    if sighting is None:
-        watcher.see_missing(_unknown_member(holding))
+    observed = watcher.observed_members.get(key)
+    if observed is None:
+        watcher.watch_missing(_unknown_member(holding))
         return None
     is_dead = holding.incarnation in watcher.dead
-    return _find_takeover(claim, sighting, is_dead=is_dead)
+    return _find_takeover(claim, observed, is_dead=is_dead)
 
 
 def _unknown_member(holding: holdings.RackHolding) -> holdings.MemberRow:
@@ -97,36 +97,39 @@
 
 
 def _find_takeover(
-    claim: "Claim", sighting: membership.Sighting, *, is_dead: bool
-) -> "Claim | None":
+    claim: "ClaimProposal",
+    observed: membership.ObservedMember,
+    *,
+    is_dead: bool,
+) -> "ClaimProposal | None":
     now_s = anyio.current_time()
     claim.lease_left_s = terms.HORIZON_S + terms.DRIFT_MARGIN_S
-    claim.rival_s = terms.COMMAND_LIFE_S + terms.DRIFT_MARGIN_S
-    if sighting.member.incarnation != claim.holding.incarnation:
-        if sighting.member.former_incarnation == claim.holding.incarnation:
+    claim.former_renews_s = terms.COMMAND_VALIDITY_S + terms.DRIFT_MARGIN_S
+    if observed.member.incarnation != claim.holding.incarnation:
+        if observed.member.former_incarnation == claim.holding.incarnation:
             return claim
         # Its machine has started anew; the old start can't renew its row
         # any more, and its last term ends within T of the new row.
         wait_s = terms.PLACEMENT_TERM_S + terms.DRIFT_MARGIN_S
-        return claim if now_s - sighting.started_s > wait_s else None
+        return claim if now_s - observed.started_s > wait_s else None
     claim.conditions.append(
         platforms.Condition(
             key=keys.member(holdings.Role.SCHEDULER, claim.holding.holder),
-            version=sighting.version,
+            version=observed.version,
         )
     )
-    if is_dead or sighting.member.state == holdings.HostState.GONE:
+    if is_dead or observed.member.state == holdings.HostState.GONE:
         # Its commands under way lapse within their life.
         return claim
-    if not sighting.is_lapsed(now_s=now_s):
+    if not observed.is_expired(now_s=now_s):
         return None
-    claim.former = sighting.member
-    claim.rival_s = claim.lease_left_s
+    claim.former = observed.member
+    claim.former_renews_s = claim.lease_left_s
     return claim
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Claim:
+class ClaimProposal:
     """What a scheduler may do about a rack that it does not hold.
 
     Attributes:
@@ -134,7 +137,7 @@
         version: Version of that row; 0 if there is none.
         former: Its holder, unless its process is surely gone.
         lease_left_s: Seconds after which the leases of others lapsed.
-        rival_s: Seconds for which others may still renew leases.
+        former_renews_s: Seconds for which others may still renew leases.
         conditions: What must hold besides.
     """
 
@@ -142,14 +145,14 @@
     version: int
     former: holdings.MemberRow | None = None
     lease_left_s: float = 0.0
-    rival_s: float = 0.0
+    former_renews_s: float = 0.0
     conditions: list[platforms.Condition] = dataclasses.field(
         default_factory=list
     )
 
 
 async def commit(
-    platform: platforms.Platform, own: holdings.MemberRow, claim: Claim
+    platform: platforms.Platform, own: holdings.MemberRow, claim: ClaimProposal
 ) -> racks.Rack | None:
     """Claim a rack under the next epoch.
 
@@ -185,6 +188,6 @@
         holding=holding, version=result.version, former=claim.former
     )
     now_s = anyio.current_time()
-    rack.rival_until_s = now_s + claim.rival_s
-    rack.adopted_until_s = now_s + claim.lease_left_s
+    rack.former_renews_until_s = now_s + claim.former_renews_s
+    rack.former_leases_until_s = now_s + claim.lease_left_s
     return rack
--- a/wisteriawood/zones/followers.py
+++ b/wisteriawood/zones/followers.py
@@ -70,7 +70,7 @@
         """Version in force here; below 0 if there is none yet."""
         return self.current.version
 
-    def not_ready(self) -> str:
+    def unready_reason(self) -> str:
         """Return why the daemon can't serve yet; empty if it can."""
         if self.version < 0:
             return (
@@ -89,7 +89,7 @@
             RequestNotRunError: There is no such team, or no
                 configuration yet.
         """
-        reason = self.not_ready()
+        reason = self.unready_reason()
         if reason:
             raise errors.RequestNotRunError(reason=reason)
         if not self.current.knows(name):
--- a/wisteriawood/zones/membership.py
+++ b/wisteriawood/zones/membership.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Sighting:
+class ObservedMember:
     """A member row as this process last read it.
 
     Attributes:
@@ -42,7 +42,7 @@
     first_seen_s: float
     started_s: float
 
-    def is_lapsed(self, *, now_s: float) -> bool:
+    def is_expired(self, *, now_s: float) -> bool:
         """Tell whether the member's term has surely ended."""
         wait_s = terms.PLACEMENT_TERM_S + terms.DRIFT_MARGIN_S
         return now_s - self.first_seen_s > wait_s
@@ -68,7 +68,7 @@
         "dead",
         "own",
         "renewed",
-        "sightings",
+        "observed_members",
         "superseded",
         "term",
         "watched_at_s",
@@ -85,7 +85,9 @@
         self._watched_at_s: float | None = None
         self.own = own
         self.term = terms.Term(duration_s=terms.PLACEMENT_TERM_S)
-        self.sightings: dict[tuple[holdings.Role, str], Sighting] = {}
+        self.observed_members: dict[
+            tuple[holdings.Role, str], ObservedMember
+        ] = {}
         self.watched_at_s = -math.inf
         # The longest time of a request that the own row surely tells.
         self.announced_s = 0.0
@@ -118,10 +120,10 @@
         Args:
             member: What is known of it.
         """
-        sighting = self.sightings.get((member.role, member.name))
+        observed = self.observed_members.get((member.role, member.name))
         return (
-            sighting is not None
-            and sighting.member.incarnation == member.incarnation
+            observed is not None
+            and observed.member.incarnation == member.incarnation
         )
 
     def live(
@@ -135,14 +137,16 @@
         """
         now_s = anyio.current_time()
         return [
-            sighting.member
-            for (found, _name), sighting in sorted(self.sightings.items())
+            observed.member
+            for (found, _name), observed in sorted(
+                self.observed_members.items()
+            )
             if found == role
-            and zone in ("", sighting.member.zone)
-            and sighting.version
-            and sighting.member.incarnation not in self.dead
-            and sighting.member.state != holdings.HostState.GONE
-            and not sighting.is_lapsed(now_s=now_s)
+            and zone in ("", observed.member.zone)
+            and observed.version
+            and observed.member.incarnation not in self.dead
+            and observed.member.state != holdings.HostState.GONE
+            and not observed.is_expired(now_s=now_s)
         ]
 
     async def run(self) -> None:
@@ -251,8 +255,8 @@
             member = rows.from_value(row.value, holdings.MemberRow)
             seen.add((member.role, member.name))
             self._see(member, row.version, now_s)
-        for key in set(self.sightings) - seen:
-            self._see(self.sightings[key].member, 0, now_s)
+        for key in set(self.observed_members) - seen:
+            self._see(self.observed_members[key].member, 0, now_s)
         self.changed.set()
         self.changed = anyio.Event()
 
@@ -261,15 +265,15 @@
         # give each member the time to do so before it counts as lapsed.
         before_s = self._watched_at_s
         if before_s is not None and now_s - before_s > WATCH_GAP_S:
-            for sighting in self.sightings.values():
-                sighting.first_seen_s = now_s
+            for observed in self.observed_members.values():
+                observed.first_seen_s = now_s
         self._watched_at_s = now_s
 
     def _see(
         self, member: holdings.MemberRow, version: int, now_s: float
     ) -> None:
         key = (member.role, member.name)
-        before = self.sightings.get(key)
+        before = self.observed_members.get(key)
         if before is not None and before.version == version:
             return
         started_s = now_s
@@ -277,14 +281,14 @@
             started_s = before.started_s
         elif before:
             self.dead.discard(before.member.incarnation)
-        self.sightings[key] = Sighting(
+        self.observed_members[key] = ObservedMember(
             member=member,
             version=version,
             first_seen_s=now_s,
             started_s=started_s,
         )
 
-    def see_missing(self, member: holdings.MemberRow) -> None:
+    def watch_missing(self, member: holdings.MemberRow) -> None:
         """Watch a member that has no row, from now on.
 
         Args:
--- a/wisteriawood/zones/probes.py
+++ b/wisteriawood/zones/probes.py
@@ -21,21 +21,21 @@
     Args:
         dial_peer: Opens a channel to the peer at an address.
         suspects: Returns the member rows of the silent processes.
-        see_dead: Takes the row of a process that is surely dead.
+        on_dead: Takes the row of a process that is surely dead.
     """
 
-    __slots__ = ("_dial_peer", "_probed", "_see_dead", "_suspects")
+    __slots__ = ("_dial_peer", "_on_dead", "_probed", "_suspects")
 
     def __init__(
         self,
         *,
         dial_peer: typing.Callable,
         suspects: typing.Callable[[], list[holdings.MemberRow]],
-        see_dead: typing.Callable[[holdings.MemberRow], None],
+        on_dead: typing.Callable[[holdings.MemberRow], None],
     ):
         self._dial_peer = dial_peer
         self._probed: set[str] = set()
-        self._see_dead = see_dead
+        self._on_dead = on_dead
         self._suspects = suspects
 
     async def run(self) -> None:
@@ -51,7 +51,7 @@
     async def _probe(self, member: holdings.MemberRow) -> None:
         try:
             if await is_refused(self._dial_peer, member):
-                self._see_dead(member)
+                self._on_dead(member)
         finally:
             self._probed.discard(member.incarnation)
 
