--- a/wisteriawood/links/feeds.py
+++ b/wisteriawood/links/feeds.py
@@ -37,8 +37,8 @@
         after: Version from which to follow; None to read the table first.
 
     Attributes:
-        heard_at_s: Monotonic time of the last answer; 0 before the first.
-        steady_since_s: Monotonic time since which no call has failed; 0
+        answered_at_s: Monotonic time of the last answer; 0 before the first.
+        unbroken_since_s: Monotonic time since which no call has failed; 0
             after a failure.
         table: The table.
     """
@@ -52,8 +52,8 @@
         "_tombstones",
         "_versions",
         "_wakeup",
-        "heard_at_s",
-        "steady_since_s",
+        "answered_at_s",
+        "unbroken_since_s",
         "table",
     )
 
@@ -77,8 +77,8 @@
             tuple[float, stores.RowKey, int]
         ] = collections.deque()
         self.table = table
-        self.heard_at_s = 0.0
-        self.steady_since_s = 0.0
+        self.answered_at_s = 0.0
+        self.unbroken_since_s = 0.0
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
@@ -99,7 +99,7 @@
                         job_events.FEED_LOST, table=self.table, cause=str(exc)
                     )
                 is_failing = True
-                self.steady_since_s = 0.0
+                self.unbroken_since_s = 0.0
                 await anyio.sleep(delay_s)
                 delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
                 continue
@@ -112,7 +112,7 @@
                     await self._wakeup.wait()
                 self._wakeup = anyio.Event()
 
-    def hurry(self) -> None:
+    def poll_now(self) -> None:
         """End the pause between polls, so that the next poll starts now."""
         self._wakeup.set()
 
@@ -133,9 +133,9 @@
             page = await self._store.feed(self.table, self._after, wait_s)
             self._apply_page(page)
             self._after = page.version
-        self.heard_at_s = anyio.current_time()
-        if not self.steady_since_s:
-            self.steady_since_s = self.heard_at_s
+        self.answered_at_s = anyio.current_time()
+        if not self.unbroken_since_s:
+            self.unbroken_since_s = self.answered_at_s
 
     def _apply_page(self, page: stores.Page) -> None:
         newer = [
--- a/wisteriawood/links/runners.py
+++ b/wisteriawood/links/runners.py
@@ -107,7 +107,7 @@
     """The worker has received a higher fencing token."""
 
 
-class OtherLifeError(errors.LinkError):
+class OtherInstanceError(errors.LinkError):
     """Another instance of the worker process answers at its address."""
 
 
@@ -156,7 +156,7 @@
 
         Raises:
             FencedError: The worker has received a higher token.
-            OtherLifeError: Another instance of the worker process
+            OtherInstanceError: Another instance of the worker process
                 answers.
         """
 
--- a/wisteriawood/platform/standins.py
+++ b/wisteriawood/platform/standins.py
@@ -93,12 +93,18 @@
     Attributes:
         status: Status with which every call is refused; 0 to answer calls
             normally.
-        unanswered: Number of next changes that are committed without an
+        lost_answers: Number of next changes that are committed without an
             answer to the host.
-        late_s: Delay before such a change is committed.
+        lost_answer_delay_s: Delay before such a change is committed.
     """
 
-    __slots__ = ("_addresses", "_store", "late_s", "status", "unanswered")
+    __slots__ = (
+        "_addresses",
+        "_store",
+        "lost_answer_delay_s",
+        "status",
+        "lost_answers",
+    )
 
     def __init__(
         self,
@@ -109,8 +115,8 @@
         self._store = store
         self._addresses = addresses or {}
         self.status = 0
-        self.unanswered = 0
-        self.late_s = 0.0
+        self.lost_answers = 0
+        self.lost_answer_delay_s = 0.0
 
     async def __call__(self, scope, receive, send) -> None:
         """Answer one call."""
@@ -122,10 +128,10 @@
         if self.status:
             await _send(send, self.status, {})
             return
-        is_dropped = scope["path"] == "/v1/rows-tx" and self.unanswered > 0
+        is_dropped = scope["path"] == "/v1/rows-tx" and self.lost_answers > 0
         if is_dropped:
-            self.unanswered -= 1
-            await anyio.sleep(self.late_s)
+            self.lost_answers -= 1
+            await anyio.sleep(self.lost_answer_delay_s)
         try:
             answer = await self._answer(scope["path"], query, body)
         except StatusError as exc:
--- a/wisteriawood/platform/worker_client.py
+++ b/wisteriawood/platform/worker_client.py
@@ -86,7 +86,7 @@
                 f"the worker does not answer: {exc!r}"
             ) from exc
         if response.status_code == 421:
-            raise runners.OtherLifeError(
+            raise runners.OtherInstanceError(
                 "another instance answers at the worker's address"
             )
         return response
--- a/wisteriawood/tests/builders.py
+++ b/wisteriawood/tests/builders.py
@@ -8,8 +8,8 @@
 
 from wisteriawood.cells import cells
 from wisteriawood.cells import claims
+from wisteriawood.cells import interference_models
 from wisteriawood.cells import leases
-from wisteriawood.cells import pressure
 from wisteriawood.cells import runs
 from wisteriawood.cells import workers as run_workers
 from wisteriawood.contracts import grants
@@ -28,9 +28,9 @@
 from wisteriawood.links import workers as worker_links
 from wisteriawood.machines import allocators
 from wisteriawood.machines import dispatchers
+from wisteriawood.machines import request_queues
 from wisteriawood.machines import services
 from wisteriawood.machines import targets
-from wisteriawood.machines import waiting_rooms
 from wisteriawood.machines import workers
 from wisteriawood.policies import registry
 from wisteriawood.policies import routing
@@ -258,9 +258,9 @@
     )
 
 
-def make_room(*, weights=None, **fields):
+def make_queue_pool(*, weights=None, **fields):
     """Return places for waiting requests."""
-    return waiting_rooms.WaitingRoom(weights=weights, **fields)
+    return request_queues.RequestQueuePool(weights=weights, **fields)
 
 
 def make_rng():
@@ -276,7 +276,7 @@
     }
     values.update(fields)
     worker = workers.Worker(name=name, rack=rack, link=link, **values)
-    worker.is_known = True
+    worker.is_connected = True
     return worker
 
 
@@ -305,14 +305,14 @@
     return allocator.queue.add(task, version=1, now_s=now_s)
 
 
-def place_on(worker, spec, *, counted=None):
+def place_on(worker, spec, *, allocated=None):
     """Put a running task on a worker and return its placement."""
     placement = workers.Placement(
         task=tasks.Task(
             spec=spec, zone="linz-a", state=tasks.TaskState.RUNNING
         ),
         version=1,
-        counted=counted or spec.needs,
+        allocated=allocated or spec.needs,
         is_committed=True,
     )
     worker.add(placement)
@@ -401,27 +401,27 @@
     )
 
 
-def put_run(worker, job, *, index=0, now_s=0.0, strain=0.0):
+def put_run(worker, job, *, index=0, now_s=0.0, latency_ratio=0.0):
     """Put a started run of a job's task on a worker."""
     task = job.occurrences[0][0][index]
     task.assign(worker_id=worker.id, run=task.run + 1)
     run = runs.Run(job=job, task=task, assigned_at_s=now_s)
-    worker.take(run)
+    worker.add_run(run)
     run.was_sent = True
-    run.settle(now_s)
+    run.mark_answered(now_s)
     run.confirm(now_s)
     run.percent = 100
-    run.signal = strain * run.step.tail_target_ms
+    run.signal = latency_ratio * run.step.tail_target_ms
     worker.note_shares(now_s)
     return run
 
 
-def teach(book, serving, weights):
-    """Let a book know the weights of fillers beside a serving image."""
+def set_weights(model, serving, weights):
+    """Set the weights of fillers beside a serving image in a model."""
     told = {f"{serving}|{filler}": [w, 0.01] for filler, w in weights.items()}
-    book.hear("teacher", told)
+    model.import_pairs("teacher", told)
 
 
-def strain_of(load):
-    """Return the strain that a load causes."""
-    return pressure.IDLE_STRAIN / (1.0 - min(load, 0.98))
+def latency_ratio_at(load):
+    """Return the latency ratio at a load."""
+    return interference_models.IDLE_LATENCY_RATIO / (1.0 - min(load, 0.98))
--- a/wisteriawood/zones/membership.py
+++ b/wisteriawood/zones/membership.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Sighting:
+class ObservedMember:
     """A member row as this process last read it.
 
     Attributes:
@@ -43,7 +43,7 @@
     first_seen_s: float
     started_s: float
 
-    def is_lapsed(self, *, now_s: float) -> bool:
+    def is_expired(self, *, now_s: float) -> bool:
         """Return whether the term, drift included, has certainly ended.
 
         Args:
@@ -73,7 +73,7 @@
         "dead",
         "own",
         "renewed",
-        "sightings",
+        "observed_members",
         "superseded",
         "term",
         "watched_at_s",
@@ -90,7 +90,9 @@
         self._scanned_at_s: float | None = None
         self.own = own
         self.term = terms.Term(duration_s=terms.PLACEMENT_TERM_S)
-        self.sightings: dict[tuple[holdings.Role, str], Sighting] = {}
+        self.observed_members: dict[
+            tuple[holdings.Role, str], ObservedMember
+        ] = {}
         # Time at which the last complete scan was sent; _scanned_at_s is the
         # time of its answer.
         self.watched_at_s = -math.inf
@@ -126,10 +128,10 @@
             member: Member row of the process, or one built from its role,
                 name and incarnation.
         """
-        sighting = self.sightings.get((member.role, member.name))
+        observed = self.observed_members.get((member.role, member.name))
         return (
-            sighting is not None
-            and sighting.member.incarnation == member.incarnation
+            observed is not None
+            and observed.member.incarnation == member.incarnation
         )
 
     def live(
@@ -143,14 +145,16 @@
         """
         now_s = anyio.current_time()
         return [
-            sighting.member
-            for (found, _name), sighting in sorted(self.sightings.items())
+            observed.member
+            for (found, _name), observed in sorted(
+                self.observed_members.items()
+            )
             if found == role
-            and zone in ("", sighting.member.zone)
-            and sighting.version
-            and sighting.member.incarnation not in self.dead
-            and sighting.member.state != holdings.HostState.GONE
-            and not sighting.is_lapsed(now_s=now_s)
+            and zone in ("", observed.member.zone)
+            and observed.version
+            and observed.member.incarnation not in self.dead
+            and observed.member.state != holdings.HostState.GONE
+            and not observed.is_expired(now_s=now_s)
         ]
 
     async def run(self) -> None:
@@ -263,8 +267,8 @@
             member = rows.from_value(row.value, holdings.MemberRow)
             seen.add((member.role, member.name))
             self._observe(member, row.version, now_s)
-        for key in set(self.sightings) - seen:
-            self._observe(self.sightings[key].member, 0, now_s)
+        for key in set(self.observed_members) - seen:
+            self._observe(self.observed_members[key].member, 0, now_s)
         self.changed.set()
         self.changed = anyio.Event()
 
@@ -274,15 +278,15 @@
         # member has a full term to renew it.
         before_s = self._scanned_at_s
         if before_s is not None and now_s - before_s > WATCH_GAP_S:
-            for sighting in self.sightings.values():
-                sighting.first_seen_s = now_s
+            for observed in self.observed_members.values():
+                observed.first_seen_s = now_s
         self._scanned_at_s = now_s
 
     def _observe(
         self, member: holdings.MemberRow, version: int, now_s: float
     ) -> None:
         key = (member.role, member.name)
-        before = self.sightings.get(key)
+        before = self.observed_members.get(key)
         if before is not None and before.version == version:
             return
         started_s = now_s
@@ -290,14 +294,14 @@
             started_s = before.started_s
         elif before:
             self.dead.discard(before.member.incarnation)
-        self.sightings[key] = Sighting(
+        self.observed_members[key] = ObservedMember(
             member=member,
             version=version,
             first_seen_s=now_s,
             started_s=started_s,
         )
 
-    def see_missing(self, member: holdings.MemberRow) -> None:
+    def watch_missing(self, member: holdings.MemberRow) -> None:
         """Start to count the time for which a member has had no row.
 
         Args:
