--- a/wisteriawood/soak/__init__.py
+++ b/wisteriawood/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak: the real hosts as processes, with random faults from outside."""
+"""Soak test: runs hosts as processes and injects random faults."""
--- a/wisteriawood/soak/callers.py
+++ b/wisteriawood/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that hand in jobs, ask for them and cancel them."""
+"""Simulated callers that submit, query and cancel jobs."""
 
 import random
 import typing
@@ -12,76 +12,88 @@
 from wisteriawood.soak import checks
 
 CALL_TIMEOUT_S = 3.0
-# Attempts of a caller at one request.
-ATTEMPTS = 5
-RETRY_S = 0.4
-# Shares of the requests; the rest ask for states.
+# Largest number of attempts of one submission or cancellation.
+MAX_ATTEMPTS = 5
+RETRY_DELAY_S = 0.4
+# Shares of all requests; the rest are queries of job states.
 SUBMIT_SHARE = 0.5
 CANCEL_SHARE = 0.12
-# Share of the jobs whose tasks last.
-STANDING_SHARE = 0.1
+# Share of jobs whose tasks run until they are cancelled.
+LONG_RUNNING_SHARE = 0.1
 
 
 class Caller:
-    """A caller with connections that it keeps open.
+    """A caller with persistent connections to the hosts.
 
     Args:
-        checker: Told what the caller sees.
-        fronts: Ports of the hosts.
-        queue: Where jobs are handed in.
-        rng: Source of its choices.
-        work_s: Work of each job's tasks, which the caller sets.
+        checker: Records the answers that the caller receives.
+        caller_ports: Ports on which the hosts serve callers, by host name.
+        queue: Queue that jobs are submitted to.
+        rng: Source of random choices.
+        work_s: Run time of the tasks of each job in seconds, by job id;
+            the caller adds its jobs.
     """
 
-    __slots__ = ("_checker", "_client", "_fronts", "_queue", "_rng", "_work_s")
+    __slots__ = (
+        "_caller_ports",
+        "_checker",
+        "_client",
+        "_queue",
+        "_rng",
+        "_work_s",
+    )
 
     def __init__(
         self,
         *,
         checker: checks.Checker,
-        fronts: typing.Mapping[str, int],
+        caller_ports: typing.Mapping[str, int],
         queue: queues.Queue,
         rng: random.Random,
         work_s: dict[str, float],
     ):
         self._checker = checker
-        self._fronts = fronts
+        self._caller_ports = caller_ports
         self._queue = queue
         self._rng = rng
         self._work_s = work_s
         self._client = httpx.AsyncClient(timeout=CALL_TIMEOUT_S)
 
     async def run(self, until_s: float) -> None:
-        """Make requests until some time.
+        """Make requests until a given time.
 
         Args:
-            until_s: The time, since the start of the soak.
+            until_s: End time in seconds since the start of the soak.
         """
-        mine: list[checks.SentJob] = []
+        own_jobs: list[checks.SentJob] = []
         async with self._client:
             while self._checker.now_s() < until_s:
                 await anyio.sleep(self._rng.uniform(0.05, 0.5))
                 roll = self._rng.random()
-                if roll < SUBMIT_SHARE or not mine:
-                    mine.append(await self._submit())
+                if roll < SUBMIT_SHARE or not own_jobs:
+                    own_jobs.append(await self._submit())
                 elif roll < SUBMIT_SHARE + CANCEL_SHARE:
-                    await self._cancel(self._rng.choice(mine))
+                    await self._cancel(self._rng.choice(own_jobs))
                 else:
-                    await self.ask(self._rng.choice(mine))
+                    await self.query_state(self._rng.choice(own_jobs))
 
-    async def ask_all(self) -> None:
-        """Ask for all jobs that should be shown as completed by now."""
+    async def query_finished_jobs(self) -> None:
+        """Query all finished jobs not yet reported as completed."""
         for sent in list(self._checker.sent.values()):
             if len(sent.ended) < len(sent.names()):
                 continue
-            if sent.is_accepted and not sent.is_told_completed:
-                await self.ask(sent)
+            if sent.is_accepted and not sent.is_reported_completed:
+                await self.query_state(sent)
 
     async def _call(
         self, method: str, job_id: str, content: bytes = b""
     ) -> tuple[int, dict]:
-        """Make one attempt; return status 0 without an answer."""
-        port = self._fronts[self._rng.choice(sorted(self._fronts))]
+        """Make one attempt; return its status and answer.
+
+        The status is 503 if the connection failed, and 0 if there was no
+        answer.
+        """
+        port = self._caller_ports[self._rng.choice(sorted(self._caller_ports))]
         try:
             response = await self._client.request(
                 method,
@@ -99,7 +111,7 @@
 
     def _make_job(self) -> specs.JobSpec:
         job_id = f"{self._rng.getrandbits(64):016x}"
-        is_standing = self._rng.random() < STANDING_SHARE
+        is_standing = self._rng.random() < LONG_RUNNING_SHARE
         steps = [
             specs.StepSpec(
                 task_count=self._rng.randint(1, 4),
@@ -124,7 +136,7 @@
         sent = checks.SentJob(spec=self._make_job())
         self._checker.sent[sent.spec.id] = sent
         body = standins.encode_job(sent.spec)
-        for _attempt in range(ATTEMPTS):
+        for _attempt in range(MAX_ATTEMPTS):
             was_unknown, sent.is_unknown = sent.is_unknown, True
             status, _answer = await self._call("POST", sent.spec.id, body)
             if status == 200:
@@ -133,11 +145,11 @@
             if status in (429, 503):
                 sent.is_refused = True
                 sent.is_unknown = was_unknown
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_DELAY_S)
         return sent
 
-    async def ask(self, sent: checks.SentJob) -> None:
-        """Ask for the state of a job.
+    async def query_state(self, sent: checks.SentJob) -> None:
+        """Query the state of a job and check the answer.
 
         Args:
             sent: The job.
@@ -145,18 +157,18 @@
         was_accepted = sent.is_accepted
         status, answer = await self._call("GET", sent.spec.id)
         if status == 200:
-            self._checker.note_state(sent, answer["state"])
+            self._checker.check_state(sent, answer["state"])
         elif status == 410 and was_accepted:
-            self._checker.note_state(sent, "")
+            self._checker.check_state(sent, "")
 
     async def _cancel(self, sent: checks.SentJob) -> None:
         if not sent.is_accepted:
             return
         sent.is_cancel_sent = True
-        for _attempt in range(ATTEMPTS):
+        for _attempt in range(MAX_ATTEMPTS):
             status, _answer = await self._call("DELETE", sent.spec.id)
             if status in (200, 410):
                 if not sent.cancelled_at_s:
                     sent.cancelled_at_s = self._checker.now_s()
                 return
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_DELAY_S)
--- a/wisteriawood/soak/checks.py
+++ b/wisteriawood/soak/checks.py
@@ -1,4 +1,4 @@
-"""What must hold, as workers and callers see it."""
+"""Invariants checked from what workers and callers observe."""
 
 import time
 
@@ -8,23 +8,25 @@
 from wisteriawood.links import runners
 from wisteriawood.standins import runners as run_standins
 
-# Time after the acknowledgement of a cancel in which starts may still come.
-CANCEL_S = 3.0
+# Time after the acknowledgement of a cancel in which runs may still start.
+CANCEL_GRACE_S = 3.0
 
 
 class SentJob:
-    """A job that a caller sent.
+    """A job that a caller has submitted.
 
     Attributes:
-        spec: The job.
-        is_accepted: Whether a host took it in.
-        is_refused: Whether an attempt was refused.
-        is_unknown: Whether an attempt had no answer, or is under way.
+        spec: Specification of the job.
+        is_accepted: Whether a host accepted it.
+        is_refused: Whether an attempt to submit it was refused.
+        is_unknown: Whether an attempt got no answer or is in progress.
         is_cancel_sent: Whether a cancel was sent.
-        cancelled_at_s: When a cancel was acknowledged; 0 for never.
-        is_told_completed: Whether a caller was shown that it is completed.
-        done: Tasks whose end was acknowledged for good, by name.
-        ended: Tasks with a run that ended done.
+        cancelled_at_s: Time at which a cancel was acknowledged, in seconds
+            since the start of the soak; 0 for never.
+        is_reported_completed: Whether a host reported it as completed.
+        done: Names of tasks that ended as done and whose end was
+            acknowledged before the lease of the worker expired.
+        ended: Names of tasks with a run that ended as done.
     """
 
     __slots__ = (
@@ -34,7 +36,7 @@
         "is_accepted",
         "is_cancel_sent",
         "is_refused",
-        "is_told_completed",
+        "is_reported_completed",
         "is_unknown",
         "spec",
     )
@@ -45,13 +47,13 @@
         self.is_refused = False
         self.is_unknown = False
         self.is_cancel_sent = False
-        self.is_told_completed = False
+        self.is_reported_completed = False
         self.cancelled_at_s = 0.0
         self.done: set[str] = set()
         self.ended: set[str] = set()
 
     def is_standing(self) -> bool:
-        """Tell whether its tasks run until it is cancelled."""
+        """Return whether its tasks run until it is cancelled."""
         return any(step.is_standing for step in self.spec.steps)
 
     def names(self) -> list[str]:
@@ -64,17 +66,15 @@
 
 
 class Checker:
-    """Notes what breaks a promise.
+    """Checks observed events and records breaches of the invariants.
 
     Attributes:
-        sent: The jobs by id.
-        workers: The workers by id.
-        breaches: What was broken, and when.
-        starts: Runs that began.
+        sent: Submitted jobs, by id.
+        workers: Workers, by id.
+        breaches: Descriptions of the breaches, with their times.
+        starts: Number of runs that were started.
     """
 
-    __slots__ = ("_began_at_s", "breaches", "sent", "starts", "workers")
-
     __slots__ = (
         "_began_at_s",
         "_newest_runs",
@@ -93,26 +93,26 @@
         self._began_at_s = time.monotonic()
 
     def now_s(self) -> float:
-        """Return the time since the start of the soak."""
+        """Return the time in seconds since the start of the soak."""
         return time.monotonic() - self._began_at_s
 
-    def breach(self, rule: str, what: str) -> None:
-        """Note that a promise was broken.
+    def record_breach(self, rule: str, what: str) -> None:
+        """Record a breach of an invariant.
 
         Args:
-            rule: The promise.
-            what: What was seen.
+            rule: Short name of the invariant.
+            what: Description of the breach.
         """
         self.breaches.append(f"{self.now_s():.2f} s {rule}: {what}")
 
-    def note_start(
+    def check_start(
         self, worker: "WatchedWorker", order: runners.StartOrder
     ) -> None:
-        """Check a run that begins.
+        """Check a run that starts.
 
         Args:
-            worker: Where it begins.
-            order: The start.
+            worker: Worker on which it starts.
+            order: Command that starts it.
         """
         self.starts += 1
         name = order.task_name
@@ -121,39 +121,43 @@
         where = f"{name} run {order.run} on {worker.registration.worker_id}"
         sent = self.sent.get(name.partition(".")[0])
         if sent is None:
-            self.breach("unasked", f"{where}: no caller sent the job")
+            self.record_breach("unasked", f"{where}: no caller sent the job")
             return
         step = sent.spec.steps[int(name.split(".")[2])]
         if sent.is_refused and not (sent.is_accepted or sent.is_unknown):
-            self.breach("refused", f"{where}: all attempts were refused")
+            self.record_breach(
+                "refused", f"{where}: all attempts were refused"
+            )
         if order.payload != sent.spec.payload:
-            self.breach("unasked", f"{where}: another payload")
+            self.record_breach("unasked", f"{where}: payload differs")
         if sent.cancelled_at_s:
             late_s = self.now_s() - sent.cancelled_at_s
-            if late_s > CANCEL_S:
-                self.breach("unasked", f"{where}: {late_s:.1f} s cancelled")
+            if late_s > CANCEL_GRACE_S:
+                self.record_breach(
+                    "unasked", f"{where}: {late_s:.1f} s after cancel"
+                )
         for other in self.workers.values():
             if other is not worker and name in other.runs:
                 there = other.registration.worker_id
-                self.breach("twice", f"{where}: it runs on {there} too")
+                self.record_breach("twice", f"{where}: also runs on {there}")
         if name in sent.done:
-            self.breach("twice", f"{where}: its end was acknowledged")
+            self.record_breach("twice", f"{where}: its end was acknowledged")
         self._check_order(sent, step, where)
-        self._check_room(worker, step, where)
+        self._check_capacity(worker, step, where)
 
-    def note_acknowledged(self, end: runners.EndedRun) -> None:
-        """Take in that the end of a run that was done is acknowledged.
+    def check_acknowledged_end(self, end: runners.EndedRun) -> None:
+        """Check the acknowledgement of a run that ended as done.
 
         Args:
-            end: The end.
+            end: End of the run.
         """
         self.sent[end.task_name.partition(".")[0]].done.add(end.task_name)
         newest = self._newest_runs.get(end.task_name, 0)
         if newest > end.run:
-            self.breach(
+            self.record_breach(
                 "twice",
                 f"{end.task_name} run {end.run} is acknowledged as done, "
-                f"and run {newest} was started",
+                f"but run {newest} was started",
             )
 
     def _check_order(
@@ -163,16 +167,18 @@
             prefix = f"{sent.spec.id}.0.{before}."
             ended = {n for n in sent.ended if n.startswith(prefix)}
             if len(ended) < sent.spec.steps[before].task_count:
-                self.breach("order", f"{where}: step {before} is not done")
+                self.record_breach(
+                    "order", f"{where}: step {before} is not done"
+                )
 
-    def _check_room(
+    def _check_capacity(
         self, worker: "WatchedWorker", step: specs.StepSpec, where: str
     ) -> None:
         used = step.cpu_millicores + sum(
             self.step_of(name).cpu_millicores for name in worker.runs
         )
         if used > worker.registration.cpu_millicores:
-            self.breach("limit", f"{where}: {used} millicores in use")
+            self.record_breach("limit", f"{where}: {used} millicores in use")
 
     def step_of(self, name: str) -> specs.StepSpec:
         """Return the step of a task.
@@ -183,29 +189,35 @@
         job_id, _occurrence, step, _index = name.split(".")
         return self.sent[job_id].spec.steps[int(step)]
 
-    def note_state(self, sent: SentJob, state: str) -> None:
-        """Check a state that a caller was shown.
+    def check_state(self, sent: SentJob, state: str) -> None:
+        """Check a job state that a caller received.
 
         Args:
             sent: The job.
-            state: The state; empty for an unknown job.
+            state: The state; empty if the host did not know the job.
         """
         if not state:
             if sent.is_accepted:
-                self.breach("lost", f"{sent.spec.id} is not known")
+                self.record_breach("lost", f"{sent.spec.id} is unknown")
             return
         if state == jobs.JobState.COMPLETED:
-            sent.is_told_completed = True
+            sent.is_reported_completed = True
             missing = set(sent.names()) - sent.ended
             if missing:
-                self.breach("mixed", f"completed without {sorted(missing)}")
+                self.record_breach(
+                    "mixed", f"completed without {sorted(missing)}"
+                )
         if state == jobs.JobState.CANCELED and not sent.is_cancel_sent:
-            self.breach("mixed", f"{sent.spec.id} canceled by nobody")
+            self.record_breach(
+                "mixed", f"{sent.spec.id} canceled without a request"
+            )
         if state == jobs.JobState.FAILED:
-            self.breach("lost", f"{sent.spec.id} failed without a failure")
+            self.record_breach(
+                "lost", f"{sent.spec.id} failed although no run failed"
+            )
 
     def runs_of(self, sent: SentJob) -> set[str]:
-        """Return the tasks of a job that run now.
+        """Return the names of the tasks of a job that are running.
 
         Args:
             sent: The job.
@@ -219,78 +231,81 @@
         }
 
     def unfinished(self) -> list[str]:
-        """Return what has still to happen once all faults are over."""
+        """Return what is still outstanding, one description for each job."""
         found = []
         for sent in self.sent.values():
             running = self.runs_of(sent)
             if sent.cancelled_at_s:
                 if running:
-                    found.append(f"{sent.spec.id} is cancelled and runs")
+                    found.append(f"{sent.spec.id} is cancelled but runs")
             elif not sent.is_accepted or sent.is_cancel_sent:
-                # A cancel without an answer may have been carried out.
+                # A cancel without an answer may have taken effect.
                 continue
             elif sent.is_standing():
                 if len(running) < len(sent.names()):
-                    found.append(f"{sent.spec.id} does not run in full")
+                    found.append(f"{sent.spec.id} has tasks that do not run")
             elif len(sent.ended) < len(sent.names()):
                 found.append(f"{sent.spec.id} is not done")
-            elif not sent.is_told_completed:
-                found.append(f"{sent.spec.id} is not shown as completed")
+            elif not sent.is_reported_completed:
+                found.append(f"{sent.spec.id} is not reported as completed")
         return found
 
 
 class WatchedWorker(run_standins.MemoryWorker):
-    """A worker that tells a checker what it is made to do.
+    """A simulated worker that reports starts and ends to a checker.
 
     Args:
-        checker: The checker.
+        checker: Checker that the events are reported to.
+        **fields: Arguments of MemoryWorker.
     """
 
-    __slots__ = ("_checker", "_lapsed_to")
+    __slots__ = ("_checker", "_expired_up_to")
 
     def __init__(self, *, checker: Checker, **fields):
         self._checker = checker
-        # Ends up to this number are older than a lapse of the lease.
-        self._lapsed_to = 0
+        # Ends up to this number precede an expiry of the lease.
+        self._expired_up_to = 0
         super().__init__(**fields)
 
     def restart(self) -> None:
-        """Begin a new life under the same id."""
-        self._lapsed_to = 0
+        """Start a new instance of the worker process under the same id."""
+        self._expired_up_to = 0
         super().restart()
 
     def renew(self, lease_until_ms: int) -> None:
-        """Extend the lease."""
-        self._note_lapse()
+        """Extend the lease, after checking whether it has expired."""
+        self._record_expiry()
         super().renew(lease_until_ms)
 
     def begin_run(self, order: runners.StartOrder) -> runners.StartAnswer:
-        """Carry out a start."""
-        self._note_lapse()
+        """Start a run and have the checker check it."""
+        self._record_expiry()
         before = len(self.starts)
         held = set(self.runs)
         answer = super().begin_run(order)
         if len(self.starts) > before:
             run = self.runs.pop(order.task_name)
             if order.task_name in held:
-                self._checker.breach("twice", f"{order.task_name} restarted")
-            self._checker.note_start(self, order)
+                self._checker.record_breach(
+                    "twice", f"{order.task_name} restarted"
+                )
+            self._checker.check_start(self, order)
             self.runs[order.task_name] = run
         return answer
 
     def report(self, acknowledged: int) -> runners.RunReport:
-        """Return the runs and the ends that were not acknowledged."""
-        self._note_lapse()
+        """Report runs and ends; check the acknowledged ends."""
+        self._record_expiry()
         for end in self._ends:
-            if end.number > acknowledged or end.number <= self._lapsed_to:
+            if end.number > acknowledged or end.number <= self._expired_up_to:
                 continue
             if end.outcome is tasks.Outcome.DONE:
-                self._checker.note_acknowledged(end)
+                self._checker.check_acknowledged_end(end)
         return super().report(acknowledged)
 
-    def _note_lapse(self) -> None:
+    def _record_expiry(self) -> None:
         if self.clock_ms() > self._lease_until_ms:
-            self._lapsed_to = self._number
+            self._expired_up_to = self._last_end_number
 
     def _end(self, name: str, outcome: tasks.Outcome) -> None:
         super()._end(name, outcome)
--- a/wisteriawood/soak/faults.py
+++ b/wisteriawood/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults that strike from outside, each over when its function returns."""
+"""Injected faults; each fault ends when its function returns."""
 
 import random
 import signal
@@ -34,14 +34,14 @@
     )
 
 
-async def _harm(
-    links: list[proxies.Proxy], rng: random.Random, longest_s: float
+async def _hold_links(
+    links: list[proxies.Proxy], rng: random.Random, max_s: float
 ) -> None:
-    """Hold some links for a while; what waited arrives, or is reset."""
+    """Hold links for up to max_s seconds, then release or reset them."""
     held = _directions(rng)
     for link in links:
         link.held |= held
-    await anyio.sleep(rng.uniform(0.3, longest_s))
+    await anyio.sleep(rng.uniform(0.3, max_s))
     is_reset = rng.random() < 0.5
     for link in links:
         link.held.clear()
@@ -52,10 +52,10 @@
 @FAULTS.register("kill-host")
 async def _kill_host(world: "worlds.SoakWorld", rng: random.Random) -> None:
     host = _host(world, rng)
-    host.is_wanted = False
+    host.should_run = False
     host.kill()
     await anyio.sleep(rng.uniform(0.1, 2.5))
-    host.is_wanted = True
+    host.should_run = True
 
 
 @FAULTS.register("kill-all-hosts")
@@ -76,10 +76,10 @@
 @FAULTS.register("stop-host")
 async def _stop_host(world: "worlds.SoakWorld", rng: random.Random) -> None:
     host = _host(world, rng)
-    host.is_wanted = False
+    host.should_run = False
     await host.stop()
     await anyio.sleep(rng.uniform(0.0, 1.0))
-    host.is_wanted = True
+    host.should_run = True
 
 
 @FAULTS.register("reload-host")
@@ -89,7 +89,7 @@
 
 @FAULTS.register("cut-host-from-store")
 async def _cut_store(world: "worlds.SoakWorld", rng: random.Random) -> None:
-    await _harm([world.store_links[_host(world, rng).name]], rng, 5.0)
+    await _hold_links([world.store_links[_host(world, rng).name]], rng, 5.0)
 
 
 @FAULTS.register("reset-links-of-host")
@@ -112,14 +112,14 @@
 @FAULTS.register("cut-host-from-workers")
 async def _cut_workers(world: "worlds.SoakWorld", rng: random.Random) -> None:
     name = _host(world, rng).name
-    await _harm(list(world.worker_links[name].values()), rng, 4.0)
+    await _hold_links(list(world.worker_links[name].values()), rng, 4.0)
 
 
 @FAULTS.register("cut-worker")
 async def _cut_worker(world: "worlds.SoakWorld", rng: random.Random) -> None:
     worker_id = rng.choice(sorted(world.workers))
     links = [links[worker_id] for links in world.worker_links.values()]
-    await _harm(links, rng, 5.0)
+    await _hold_links(links, rng, 5.0)
 
 
 @FAULTS.register("crash-worker")
@@ -170,9 +170,11 @@
 
 
 @FAULTS.register("store-forgets-history")
-async def _forget(world: "worlds.SoakWorld", rng: random.Random) -> None:
+async def _compact_history(
+    world: "worlds.SoakWorld", rng: random.Random
+) -> None:
     del rng
-    world.memory.forget_history()
+    world.memory_store.forget_history()
 
 
 @FAULTS.register("new-configuration")
--- a/wisteriawood/soak/hosts.py
+++ b/wisteriawood/soak/hosts.py
@@ -1,4 +1,4 @@
-"""A job host as a process that faults can strike."""
+"""A job host as a process that faults can be injected into."""
 
 import os
 import pathlib
@@ -12,32 +12,32 @@
 from wisteriawood.platform import standins
 
 MODULE = "wisteriawood.platform"
-# Time that a host has between the order to stop and the kill.
-GRACE_S = 7.0
+# Time between SIGTERM and SIGKILL.
+STOP_TIMEOUT_S = 7.0
 
 
 class HostProcess:
-    """The process of one host, started anew when it ends.
+    """The process of one host.
 
     Args:
         name: Name of the host.
-        zone: Its availability zone.
-        folder: Where its settings and log are kept.
+        zone: Availability zone of the host.
+        folder: Folder for its settings and log.
 
     Attributes:
-        front_port: Port on which it serves callers.
-        ready_port: Port on which it tells whether it is ready.
-        is_wanted: Whether it is started when it does not run.
-        starts: How often it was started.
+        caller_port: Port on which it serves callers.
+        ready_port: Port of its readiness endpoint.
+        should_run: Whether it is started whenever it is not running.
+        starts: Number of times it was started.
     """
 
     __slots__ = (
         "_folder",
         "_process",
-        "front_port",
-        "is_wanted",
+        "caller_port",
         "name",
         "ready_port",
+        "should_run",
         "starts",
         "zone",
     )
@@ -47,9 +47,9 @@
         self.zone = zone
         self._folder = folder
         self._process: subprocess.Popen | None = None
-        self.front_port = 0
+        self.caller_port = 0
         self.ready_port = 0
-        self.is_wanted = True
+        self.should_run = True
         self.starts = 0
 
     def write_settings(self, zones: list[str], store_port: int) -> None:
@@ -57,13 +57,13 @@
 
         Args:
             zones: All availability zones.
-            store_port: Port of the store on loopback.
+            store_port: Port of the store on the loopback interface.
         """
         data = standins.encode_settings(
             self.name,
             self.zone,
             zones,
-            front=f"127.0.0.1:{self.front_port}",
+            front=f"127.0.0.1:{self.caller_port}",
             ready=f"127.0.0.1:{self.ready_port}",
             store=f"127.0.0.1:{store_port}",
         )
@@ -82,26 +82,30 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal if the process runs.
+        """Send a signal if the process is running.
 
         Args:
-            number: The signal.
+            number: Signal to send.
         """
         if self.is_running():
             self._process.send_signal(number)
 
     def is_running(self) -> bool:
-        """Tell whether the process runs."""
+        """Return whether the process is running."""
         return self._process is not None and self._process.poll() is None
 
     def exit_code(self) -> int | None:
-        """Return how the process ended; None while it runs."""
+        """Return the exit code of the process; None while it runs."""
         return self._process.poll() if self._process else None
 
     async def stop(self) -> bool:
-        """Stop the process gracefully; return whether it did so in time."""
+        """Send SIGTERM, and SIGKILL after STOP_TIMEOUT_S.
+
+        Returns:
+            Whether the process exited before the timeout.
+        """
         self.signal(signal.SIGTERM)
-        with anyio.move_on_after(GRACE_S):
+        with anyio.move_on_after(STOP_TIMEOUT_S):
             while self.is_running():
                 await anyio.sleep(0.05)
             return True
@@ -109,7 +113,7 @@
         return False
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its exit."""
         self.signal(signal.SIGKILL)
         if self._process is not None:
             self._process.wait()
--- a/wisteriawood/soak/proxies.py
+++ b/wisteriawood/soak/proxies.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback through which a link can be harmed."""
+"""A TCP proxy on loopback that injects faults into a link."""
 
 import enum
 import socket
@@ -13,26 +13,26 @@
 
 
 class Direction(enum.StrEnum):
-    """Directions of the bytes on a link."""
+    """Directions of a link, as seen by the client."""
 
     OUT = "out"
     BACK = "back"
 
 
 class Proxy:
-    """Passes on the connections of one link.
+    """Forwards the connections of one link.
 
-    Bytes in a held direction wait and arrive late; nothing is lost without
-    the connection being reset.
+    Bytes in a held direction are delayed until it is released; bytes are
+    lost only when the connection is reset, as with TCP.
 
     Args:
-        target_port: Port on loopback of the other end.
+        target_port: Port on loopback that connections are forwarded to.
 
     Attributes:
-        port: Port on which it listens.
-        delay_s: Time by which each chunk is late.
-        held: Directions in which nothing moves.
-        is_refusing: Whether new connections are reset.
+        port: Port that the proxy listens on.
+        delay_s: Delay of each chunk in seconds.
+        held: Directions in which no bytes are forwarded.
+        is_refusing: Whether new connections are closed immediately.
     """
 
     __slots__ = (
@@ -55,15 +55,15 @@
         self.is_refusing = False
 
     async def listen(self) -> None:
-        """Take a free port."""
+        """Listen on a free port."""
         self._listener = await anyio.create_tcp_listener(
             local_host=HOST, local_port=0
         )
         self.port = self._listener.extra(abc.SocketAttribute.local_port)
 
     async def run(self) -> None:
-        """Pass connections on until cancelled."""
-        await self._listener.serve(self._carry)
+        """Forward connections until cancelled."""
+        await self._listener.serve(self._relay)
 
     def reset(self) -> None:
         """Reset all connections."""
@@ -73,14 +73,14 @@
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             raw.shutdown(socket.SHUT_RDWR)
 
-    async def _carry(self, near: abc.SocketStream) -> None:
+    async def _relay(self, near: abc.SocketStream) -> None:
         async with near:
             if self.is_refusing:
                 return
             try:
                 far = await anyio.connect_tcp(HOST, self._target_port)
             except OSError:
-                # Nobody listens there; the caller sees the end of the link.
+                # No server is listening; the client sees a closed connection.
                 return
             async with far:
                 self._streams |= {near, far}
@@ -111,5 +111,5 @@
                     await anyio.sleep(HOLD_TICK_S)
                 await sink.send(data)
         except (anyio.EndOfStream, anyio.BrokenResourceError, OSError):
-            # The other direction has nobody left to talk to.
+            # One end is closed, so the other direction ends as well.
             group.cancel_scope.cancel()
--- a/wisteriawood/soak/worlds.py
+++ b/wisteriawood/soak/worlds.py
@@ -1,4 +1,4 @@
-"""The world of a soak: stand-ins and links around the real hosts."""
+"""Environment of a soak: real hosts with stand-ins and links."""
 
 import functools
 import logging
@@ -25,45 +25,53 @@
 WORKERS_PER_ZONE = 3
 CALLERS = 3
 SERVICE = "shop"
-# Ports for servers; they stay below the range for outgoing connections.
-PORTS = (20000, 32000)
-HEARTBEAT_S = 0.5
-WATCH_S = 0.1
-# Time for the hosts to start before the first caller.
-LEAD_S = 4.0
-# Time in which all accepted work must be done once all faults are over.
-FINISH_S = 25.0
+# Ports for servers, below the range for outgoing connections.
+PORT_RANGE = (20000, 32000)
+HEARTBEAT_PERIOD_S = 0.5
+WATCH_PERIOD_S = 0.1
+# Time for the hosts to start before the first request.
+STARTUP_S = 4.0
+# Time after the last fault within which all accepted jobs must complete.
+FINISH_TIMEOUT_S = 25.0
 
 
 def _free_port(rng: random.Random) -> int:
-    """Return a port that no other connection takes by chance.
+    """Return a free port outside the range of ephemeral ports.
 
-    Ports that the system gives away lie above the range.
+    An ephemeral port could be taken by an outgoing connection while the
+    host that listens on it is stopped.
 
     Args:
-        rng: Source of the choice.
+        rng: Source of random ports.
     """
     while True:
-        port = rng.randrange(*PORTS)
+        port = rng.randrange(*PORT_RANGE)
         with socket.socket() as probe:
             try:
                 probe.bind((proxies.HOST, port))
             except OSError:
-                # Another soak on this machine has it.
+                # In use, for example by another soak on this machine.
                 continue
             return port
 
 
 class SoakWorld:
-    """Hosts, workers, stores, links, callers and faults.
+    """Hosts, workers, stores, links, callers and faults of one soak.
 
     Args:
-        seed: Seed of all that is random.
-        folder: Where settings and logs are kept.
-        load_s: Time for which callers and faults are at work.
+        seed: Seed of the load and the faults.
+        folder: Folder for settings and logs.
+        load_s: Duration of the load and the faults in seconds.
 
     Attributes:
-        struck: Faults that struck, with their times.
+        checker: Checker that records breaches.
+        hosts: Host processes, by name.
+        injected_faults: Names of the injected faults, with their times.
+        memory_store: Rows that all hosts share.
+        store_links: Proxies between hosts and the store, by host.
+        stores: Store interface of each host, by host.
+        worker_links: Proxies between hosts and workers, by host and worker.
+        workers: Workers, by id.
     """
 
     __slots__ = (
@@ -76,11 +84,11 @@
         "_work_s",
         "checker",
         "hosts",
-        "memory",
+        "injected_faults",
+        "memory_store",
         "queue",
         "store_links",
         "stores",
-        "struck",
         "worker_links",
         "workers",
     )
@@ -89,7 +97,7 @@
         self._folder = folder
         self._load_s = load_s
         self._rng = random.Random(seed)
-        # Soaks that run at once must not choose the same.
+        # Unseeded, so that concurrent soaks choose different ports.
         self._ports = random.Random()
         self._stopping = anyio.Event()
         self._version = 0
@@ -104,42 +112,44 @@
             stretch=3.0,
             target_ms=2000,
         )
-        self.memory = stores.MemoryStore()
+        self.memory_store = stores.MemoryStore()
         self.stores: dict[str, standins.WireStore] = {}
         self.store_links: dict[str, proxies.Proxy] = {}
         self.worker_links: dict[str, dict[str, proxies.Proxy]] = {}
         self.workers = self.checker.workers
         self.hosts: dict[str, hosts.HostProcess] = {}
-        self.struck: list[str] = []
+        self.injected_faults: list[str] = []
 
     def links_of(self, host: str) -> list[proxies.Proxy]:
         """Return all links of a host.
 
         Args:
-            host: Its name.
+            host: Name of the host.
         """
         return [self.store_links[host], *self.worker_links[host].values()]
 
     def configure(self) -> None:
         """Write the next version of the configuration."""
         self._version += self._rng.randint(1, 3)
-        standins.write_configuration(self.memory, self._version, self.queue)
+        standins.write_configuration(
+            self.memory_store, self._version, self.queue
+        )
 
     async def run(self) -> None:
-        """Play the soak; the checker has what it found."""
-        # The servers would report each link that a fault broke.
+        """Run the soak; the checker records the breaches."""
+        # The servers would log an error for each link that a fault closes.
         logging.getLogger("hypercorn.error").disabled = True
         async with anyio.create_task_group() as servers:
             async with anyio.create_task_group() as group:
                 try:
                     await self._build(servers, group)
-                    await self._play()
+                    await self._run_load()
                 finally:
                     for host in self.hosts.values():
-                        host.is_wanted = False
+                        host.should_run = False
                         host.kill()
                     group.cancel_scope.cancel()
-            # Servers end by themselves once their links are gone.
+            # Servers can only stop once their connections are closed.
             self._stopping.set()
 
     async def _build(
@@ -202,13 +212,15 @@
             link = await self._add_link(group, port)
             self.worker_links[name][worker_id] = link
             addresses[worker_id] = f"{proxies.HOST}:{link.port}"
-        store = standins.WireStore(store=self.memory, addresses=addresses)
+        store = standins.WireStore(
+            store=self.memory_store, addresses=addresses
+        )
         store_port = _free_port(self._ports)
         self._serve(servers, store, store_port)
         self.stores[name] = store
         self.store_links[name] = await self._add_link(group, store_port)
         host = hosts.HostProcess(name=name, zone=zone, folder=self._folder)
-        host.front_port = _free_port(self._ports)
+        host.caller_port = _free_port(self._ports)
         host.ready_port = _free_port(self._ports)
         host.write_settings(list(ZONES), self.store_links[name].port)
         self.hosts[name] = host
@@ -222,61 +234,65 @@
         return link
 
     async def _heartbeat(self) -> None:
-        """Write the entries of the workers that live."""
+        """Write directory entries of live workers; delete the others."""
         while True:
             for name, worker in self.workers.items():
                 found = None if worker.is_dead else worker.registration
-                standins.write_worker(self.memory, found, name)
-            await anyio.sleep(HEARTBEAT_S)
+                standins.write_worker(self.memory_store, found, name)
+            await anyio.sleep(HEARTBEAT_PERIOD_S)
 
     async def _watch_hosts(self) -> None:
-        """Start hosts that are wanted; note those that end by themselves."""
+        """Start hosts that should run; report unexpected exit codes."""
         while True:
             for host in self.hosts.values():
                 code = host.exit_code()
                 if code is not None and code > 0:
-                    self.checker.breach("exit", f"{host.name}: code {code}")
-                if host.is_wanted and not host.is_running():
+                    self.checker.record_breach(
+                        "exit", f"{host.name}: code {code}"
+                    )
+                if host.should_run and not host.is_running():
                     host.start()
-            await anyio.sleep(WATCH_S)
+            await anyio.sleep(WATCH_PERIOD_S)
 
-    async def _play(self) -> None:
-        await anyio.sleep(LEAD_S)
+    async def _run_load(self) -> None:
+        await anyio.sleep(STARTUP_S)
         until_s = self.checker.now_s() + self._load_s
         async with anyio.create_task_group() as group:
             for _number in range(CALLERS):
                 group.start_soon(self._make_caller().run, until_s)
-            group.start_soon(self._strike, until_s)
-        await self._finish()
+            group.start_soon(self._inject_faults, until_s)
+        await self._wait_until_finished()
 
     def _make_caller(self) -> callers.Caller:
         return callers.Caller(
             checker=self.checker,
-            fronts={n: h.front_port for n, h in self.hosts.items()},
+            caller_ports={n: h.caller_port for n, h in self.hosts.items()},
             queue=self.queue,
             rng=random.Random(self._rng.getrandbits(32)),
             work_s=self._work_s,
         )
 
-    async def _strike(self, until_s: float) -> None:
-        """Let faults strike one after the other, also at the same time."""
+    async def _inject_faults(self, until_s: float) -> None:
+        """Inject random faults, which may overlap."""
         async with anyio.create_task_group() as group:
             while self.checker.now_s() < until_s:
                 await anyio.sleep(self._rng.uniform(0.2, 2.0))
                 name = self._rng.choice(sorted(faults.FAULTS.names()))
-                self.struck.append(f"{self.checker.now_s():.2f} {name}")
+                self.injected_faults.append(
+                    f"{self.checker.now_s():.2f} {name}"
+                )
                 rng = random.Random(self._rng.getrandbits(32))
                 fault = faults.FAULTS.get(name)
                 group.start_soon(functools.partial(fault, self, rng))
 
-    async def _finish(self) -> None:
-        """Wait until all accepted work is done and every job is told so."""
-        ends_s = self.checker.now_s() + FINISH_S
+    async def _wait_until_finished(self) -> None:
+        """Wait until all accepted jobs are done and reported as completed."""
+        deadline_s = self.checker.now_s() + FINISH_TIMEOUT_S
         caller = self._make_caller()
         while self.checker.unfinished():
-            if self.checker.now_s() > ends_s:
+            if self.checker.now_s() > deadline_s:
                 for what in self.checker.unfinished():
-                    self.checker.breach("lost", what)
+                    self.checker.record_breach("lost", what)
                 return
-            await caller.ask_all()
-            await anyio.sleep(WATCH_S)
+            await caller.query_finished_jobs()
+            await anyio.sleep(WATCH_PERIOD_S)
--- a/wisteriawood/standins/runners.py
+++ b/wisteriawood/standins/runners.py
@@ -1,4 +1,4 @@
-"""A worker in memory that runs tasks under one lease."""
+"""Stand-in for a worker of the platform, and the link to it."""
 
 import typing
 
@@ -9,20 +9,20 @@
 from wisteriawood.links import runners
 
 TICK_S = 0.02
-CALL_S = 0.002
-TIMEOUT_S = 0.8
+CALL_DELAY_S = 0.002
+CALL_TIMEOUT_S = 0.8
 
 
 class MemoryRun:
-    """A run on a worker in memory.
+    """A run on a simulated worker.
 
     Args:
-        order: The start.
-        work_s: Work left.
+        order: Command that started the run.
+        work_s: Remaining run time at full speed, in seconds.
+        outcome: Outcome of the run once the work is done.
 
     Attributes:
-        percent: Share of its speed that it is allowed.
-        outcome: How it will end.
+        percent: Speed of the run, as a percentage of full speed.
     """
 
     __slots__ = ("order", "outcome", "percent", "work_s")
@@ -41,29 +41,41 @@
 
 
 class MemoryWorker:
-    """A worker that does what the platform's workers do.
+    """Simulates a worker of the platform, with all its runs under one lease.
 
     Args:
-        registration: What the directory says of it.
-        work_s: Tells the work of a task, by its name.
-        outcome_of: Tells how a run ends, by task and number.
+        registration: Entry of the worker in the directory.
+        work_s: Returns the run time of a task at full speed, in seconds,
+            by task name.
+        outcome_of: Returns the outcome of a run, by task name and run
+            number; all runs succeed if None.
 
     Attributes:
-        starts: All runs that ever began, as (name, number, time).
-        ends: All ends, as (name, number, outcome, time).
-        unanswered: Orders to come that are carried out without answer.
-        late_s: Time after which those are carried out.
-        cut_from: Hosts from which nothing comes through.
+        born_unix_ms: Start time of this instance of the worker process.
+        cut_from: Hosts whose calls do not reach the worker.
+        ends: All ends of runs, as (task name, run number, outcome, time in
+            seconds).
+        is_dead: Whether the worker has crashed and not been restarted.
+        late_s: Delay after which a start whose answer is lost is executed,
+            in seconds.
+        runs: Active runs, by task name.
+        starts: All runs that were started, as (task name, run number, time
+            in seconds).
+        tail_latencies_ms: Tail latencies to report, by task name.
+        token: Highest fencing token received.
+        unanswered: Number of subsequent calls that the fault applies to;
+            starts and stops among them are executed but their answers are
+            lost.
     """
 
     __slots__ = (
-        "_born_at_s",
+        "_deferred",
         "_ends",
-        "_late",
+        "_last_end_number",
         "_lease_until_ms",
-        "_number",
         "_outcome_of",
-        "_refused",
+        "_refused_up_to",
+        "_started_at_s",
         "_work_s",
         "born_unix_ms",
         "cut_from",
@@ -73,7 +85,7 @@
         "registration",
         "runs",
         "starts",
-        "tails",
+        "tail_latencies_ms",
         "token",
         "unanswered",
     )
@@ -95,41 +107,41 @@
         self.cut_from: set[str] = set()
         self.is_dead = False
         self.born_unix_ms = 1000
-        self.tails: dict[str, float] = {}
-        self._late: list[tuple[float, typing.Callable]] = []
-        self._begin()
+        self.tail_latencies_ms: dict[str, float] = {}
+        self._deferred: list[tuple[float, typing.Callable]] = []
+        self._start_instance()
 
-    def _begin(self) -> None:
-        self._born_at_s = anyio.current_time()
+    def _start_instance(self) -> None:
+        self._started_at_s = anyio.current_time()
         self.token = 0
         self._lease_until_ms = 0
-        self._number = 0
+        self._last_end_number = 0
         self._ends: list[runners.EndedRun] = []
-        self._refused: dict[str, int] = {}
+        self._refused_up_to: dict[str, int] = {}
         self.runs: dict[str, MemoryRun] = {}
 
     def clock_ms(self) -> int:
-        """Return the worker's clock, which starts with its life."""
-        return 1 + int((anyio.current_time() - self._born_at_s) * 1000)
+        """Return the worker's clock, which starts with this instance."""
+        return 1 + int((anyio.current_time() - self._started_at_s) * 1000)
 
     def crash(self) -> None:
-        """End this life; all runs are over at once."""
+        """Simulate a crash of the worker process, which ends all runs."""
         self.is_dead = True
         self.runs.clear()
 
     def restart(self) -> None:
-        """Begin a new life under the same id."""
+        """Start a new instance of the worker process under the same id."""
         self.is_dead = False
         self.born_unix_ms += 1000
-        self._begin()
+        self._start_instance()
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Advance the runs until cancelled."""
         while True:
             await anyio.sleep(TICK_S)
             if self.is_dead:
                 continue
-            self._carry_out_late()
+            self._run_deferred()
             if self.runs and self.clock_ms() > self._lease_until_ms:
                 for name in list(self.runs):
                     self._end(name, tasks.Outcome.LAPSED)
@@ -138,29 +150,31 @@
                 if run.work_s <= 0:
                     self._end(name, run.outcome)
 
-    def put_off(self, act: typing.Callable[[], typing.Any]) -> None:
-        """Carry out an order after the worker's delay.
+    def defer(self, act: typing.Callable[[], typing.Any]) -> None:
+        """Execute a command after a delay of late_s.
 
         Args:
-            act: Carries it out.
+            act: Executes the command.
         """
-        self._late.append((anyio.current_time() + self.late_s, act))
+        self._deferred.append((anyio.current_time() + self.late_s, act))
 
-    def _carry_out_late(self) -> None:
+    def _run_deferred(self) -> None:
         now_s = anyio.current_time()
-        due = [act for at_s, act in self._late if at_s <= now_s]
-        self._late = [late for late in self._late if late[0] > now_s]
+        due = [act for at_s, act in self._deferred if at_s <= now_s]
+        self._deferred = [item for item in self._deferred if item[0] > now_s]
         for act in due:
             act()
 
     def _end(self, name: str, outcome: tasks.Outcome) -> None:
         run = self.runs.pop(name)
         number = run.order.run
-        self._refused[name] = max(self._refused.get(name, 0), number)
-        self._number += 1
+        self._refused_up_to[name] = max(
+            self._refused_up_to.get(name, 0), number
+        )
+        self._last_end_number += 1
         self._ends.append(
             runners.EndedRun(
-                number=self._number,
+                number=self._last_end_number,
                 task_name=name,
                 run=number,
                 outcome=outcome,
@@ -170,17 +184,17 @@
         self.ends.append((name, number, outcome, anyio.current_time()))
 
     def check_token(self, token: int) -> None:
-        """Take note of a token.
+        """Record a fencing token.
 
         Raises:
-            FencedError: A higher one was seen.
+            FencedError: A higher token has been received.
         """
         if token < self.token:
             raise runners.FencedError("fenced")
         self.token = token
 
     def begin_run(self, order: runners.StartOrder) -> runners.StartAnswer:
-        """Carry out a start."""
+        """Start a run, unless the command is fenced, late or outdated."""
         try:
             self.check_token(order.token)
         except runners.FencedError:
@@ -191,7 +205,7 @@
         held = self.runs.get(order.task_name)
         if held is not None and held.order.run == order.run:
             return runners.StartAnswer.STARTED
-        if order.run <= self._refused.get(order.task_name, 0):
+        if order.run <= self._refused_up_to.get(order.task_name, 0):
             return runners.StartAnswer.OLD_RUN
         outcome = tasks.Outcome.DONE
         if self._outcome_of is not None:
@@ -206,14 +220,20 @@
         return runners.StartAnswer.STARTED
 
     def stop_run(self, name: str, number: int) -> None:
-        """Carry out a stop."""
+        """Stop a run and refuse starts of runs up to its number."""
         run = self.runs.get(name)
         if run is not None and run.order.run <= number:
             self._end(name, tasks.Outcome.STOPPED)
-        self._refused[name] = max(self._refused.get(name, 0), number)
+        self._refused_up_to[name] = max(
+            self._refused_up_to.get(name, 0), number
+        )
 
     def report(self, acknowledged: int) -> runners.RunReport:
-        """Return the runs and the ends that were not acknowledged."""
+        """Return the active runs and the ends not yet acknowledged.
+
+        Args:
+            acknowledged: Number of the last end that is acknowledged.
+        """
         self._ends = [e for e in self._ends if e.number > acknowledged]
         return runners.RunReport(
             born_unix_ms=self.born_unix_ms,
@@ -223,7 +243,7 @@
                     task_name=name,
                     run=run.order.run,
                     percent=run.percent,
-                    signal=self.tails.get(name, 0.0),
+                    signal=self.tail_latencies_ms.get(name, 0.0),
                 )
                 for name, run in self.runs.items()
             ],
@@ -231,16 +251,20 @@
         )
 
     def renew(self, lease_until_ms: int) -> None:
-        """Extend the lease."""
+        """Extend the lease.
+
+        Args:
+            lease_until_ms: End of the lease on the worker's clock.
+        """
         self._lease_until_ms = max(self._lease_until_ms, lease_until_ms)
 
     def has_ends(self) -> bool:
-        """Tell whether an end waits for its acknowledgement."""
+        """Return whether ends of runs are not yet acknowledged."""
         return bool(self._ends)
 
 
 class MemoryRunLink:
-    """Calls of one host to a worker in memory.
+    """Link from a host to a simulated worker.
 
     Args:
         worker: The worker.
@@ -253,55 +277,55 @@
         self._worker = worker
         self._host = host
 
-    async def _arrive(self) -> bool:
-        """Reach the worker; return whether the answer will be lost.
+    async def _apply_call_faults(self) -> bool:
+        """Delay a call; return whether its answer will be lost.
 
         Raises:
-            LinkClosedError: The worker is not reached.
+            LinkClosedError: The worker is dead or unreachable.
         """
         worker = self._worker
         if worker.is_dead or self._host in worker.cut_from:
-            await anyio.sleep(TIMEOUT_S)
+            await anyio.sleep(CALL_TIMEOUT_S)
             raise errors.LinkClosedError("no answer")
-        await anyio.sleep(CALL_S)
+        await anyio.sleep(CALL_DELAY_S)
         if worker.unanswered <= 0:
             return False
         worker.unanswered -= 1
         return True
 
-    async def _answer(self, is_lost: bool) -> None:
+    async def _apply_answer_faults(self, is_lost: bool) -> None:
         worker = self._worker
         if is_lost or worker.is_dead or self._host in worker.cut_from:
-            await anyio.sleep(TIMEOUT_S)
+            await anyio.sleep(CALL_TIMEOUT_S)
             raise errors.LinkClosedError("no answer")
 
     async def start(self, order: runners.StartOrder) -> runners.StartAnswer:
         """Start a run."""
-        is_lost = await self._arrive()
+        is_lost = await self._apply_call_faults()
         if is_lost:
-            self._worker.put_off(lambda: self._worker.begin_run(order))
-            await self._answer(True)
+            self._worker.defer(lambda: self._worker.begin_run(order))
+            await self._apply_answer_faults(True)
         answer = self._worker.begin_run(order)
-        await self._answer(False)
+        await self._apply_answer_faults(False)
         return answer
 
     async def stop(self, task_name: str, run: int, token: int) -> None:
         """Stop a run."""
-        is_lost = await self._arrive()
+        is_lost = await self._apply_call_faults()
         self._worker.check_token(token)
         self._worker.stop_run(task_name, run)
-        await self._answer(is_lost)
+        await self._apply_answer_faults(is_lost)
 
     async def pace(
         self, task_name: str, run: int, percent: int, token: int
     ) -> None:
-        """Let a run work at a share of its speed."""
-        await self._arrive()
+        """Set the speed of a run, as a percentage of full speed."""
+        await self._apply_call_faults()
         self._worker.check_token(token)
         held = self._worker.runs.get(task_name)
         if held is not None and held.order.run == run:
             held.percent = percent
-        await self._answer(False)
+        await self._apply_answer_faults(False)
 
     async def renew(
         self,
@@ -311,9 +335,12 @@
         lease_until_ms: int,
         wait_ms: int,
     ) -> runners.RunReport:
-        """Renew the lease, acknowledge ends and return the runs."""
+        """Renew the lease, acknowledge ends and return a report.
+
+        Waits up to wait_ms for the next end of a run.
+        """
         worker = self._worker
-        await self._arrive()
+        await self._apply_call_faults()
         worker.check_token(token)
         worker.renew(lease_until_ms)
         worker.report(acknowledged)
@@ -321,7 +348,7 @@
         while waited_s < wait_ms / 1000 and not worker.has_ends():
             await anyio.sleep(TICK_S)
             waited_s += TICK_S
-        await self._answer(False)
+        await self._apply_answer_faults(False)
         worker.check_token(token)
         return worker.report(acknowledged)
 
--- a/wisteriawood/tests/faults/soak_tests.py
+++ b/wisteriawood/tests/faults/soak_tests.py
@@ -1,4 +1,4 @@
-"""A short soak of real processes, and what its checks find."""
+"""A short soak with real processes, and tests of the soak checks."""
 
 import pathlib
 import tempfile
@@ -20,7 +20,7 @@
 
 
 class SoakTests(unittest.TestCase):
-    def test_a_short_soak_breaks_no_promise(self):
+    def test_short_soak_finds_no_breach(self):
         with tempfile.TemporaryDirectory() as folder:
 
             async def _main():
@@ -33,12 +33,12 @@
             world = anyio.run(_main)
         checker = world.checker
         self.assertEqual(checker.breaches, [])
-        self.assertGreater(len(world.struck), 2)
+        self.assertGreater(len(world.injected_faults), 2)
         self.assertTrue(any(s.is_accepted for s in checker.sent.values()))
 
 
 class CheckTests(unittest.TestCase):
-    """Each check finds the breach that it is meant for."""
+    """Tests that each check reports its kind of breach."""
 
     def _run(self, check, **fields):
         async def _main():
@@ -84,7 +84,7 @@
             )
         )
 
-    def test_nothing_is_found_where_nothing_is_broken(self):
+    def test_valid_runs_are_not_reported(self):
         def _check(checker, sent):
             sent.is_accepted = True
             self._start(checker, "w1")
@@ -119,41 +119,41 @@
 
         self.assertIn("twice", self._run(_check))
 
-    def test_more_than_a_worker_holds(self):
+    def test_runs_over_the_capacity_of_a_worker(self):
         def _check(checker, _sent):
             self._start(checker, "w1")
             self._start(checker, "w1", index=1)
 
         self.assertIn("limit", self._run(_check))
 
-    def test_a_step_before_its_time(self):
+    def test_step_that_starts_before_its_predecessor(self):
         def _check(checker, _sent):
             self._start(checker, "w1", step=1)
 
         self.assertIn("order", self._run(_check))
 
-    def test_what_nobody_sent(self):
+    def test_payload_that_no_caller_sent(self):
         def _check(checker, _sent):
             self._start(checker, "w1", payload="other")
 
         self.assertIn("unasked", self._run(_check))
 
-    def test_a_refusal_that_is_not_true(self):
+    def test_run_of_a_refused_job(self):
         def _check(checker, sent):
             sent.is_refused = True
             self._start(checker, "w1")
 
         self.assertIn("refused", self._run(_check))
 
-    def test_completed_too_early(self):
+    def test_job_reported_completed_too_early(self):
         def _check(checker, sent):
-            checker.note_state(sent, "completed")
+            checker.check_state(sent, "completed")
 
         self.assertIn("mixed", self._run(_check))
 
-    def test_an_accepted_job_that_is_not_known(self):
+    def test_accepted_job_that_is_unknown(self):
         def _check(checker, sent):
             sent.is_accepted = True
-            checker.note_state(sent, "")
+            checker.check_state(sent, "")
 
         self.assertIn("lost", self._run(_check))
