--- a/wisteriawood/standins/__init__.py
+++ b/wisteriawood/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the platform, a worker and a target."""
+"""Stand-ins for the platform, workers, targets and callers."""
--- a/wisteriawood/standins/checks.py
+++ b/wisteriawood/standins/checks.py
@@ -1,4 +1,4 @@
-"""Invariants, checked on what callers, targets and workers recorded."""
+"""Checks of invariants against the records of callers and stand-ins."""
 
 import dataclasses
 
@@ -11,13 +11,13 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Verdict:
-    """Whether one invariant held.
+class CheckResult:
+    """Result of the check of one invariant.
 
     Attributes:
-        name: The invariant.
-        checked: Things that were looked at.
-        breaches: What broke it, in words.
+        name: Description of the invariant.
+        checked: Number of items that were checked.
+        breaches: Descriptions of the breaches that were found.
     """
 
     name: str
@@ -25,27 +25,27 @@
     breaches: list[str] = dataclasses.field(default_factory=list)
 
     def holds(self) -> bool:
-        """Tell whether it held for at least one thing checked."""
+        """Return whether items were checked and none broke the invariant."""
         return self.checked > 0 and not self.breaches
 
 
-def check_slots(counts: list[targets.TargetCounts]) -> Verdict:
-    """Check that no target was over its slots."""
-    return Verdict(
-        name="no target is over its slots",
+def check_slots(counts: list[targets.TargetCounts]) -> CheckResult:
+    """Check that no target had more requests in flight than slots."""
+    return CheckResult(
+        name="no target has more requests than slots",
         checked=sum(count.started for count in counts),
         breaches=[
-            f"a target was {count.breaches} times over its slots"
+            f"a target exceeded its slots {count.breaches} times"
             for count in counts
             if count.breaches
         ],
     )
 
 
-def check_answers(seen: list[loads.Seen]) -> Verdict:
-    """Check that each caller got the whole answer to its own request."""
-    ran = [s for s in seen if s.outcome == requests.Outcome.RAN]
-    return Verdict(
+def check_answers(sent: list[loads.RequestRecord]) -> CheckResult:
+    """Check that each answer is complete and answers its own request."""
+    ran = [s for s in sent if s.outcome == requests.Outcome.RAN]
+    return CheckResult(
         name="each caller gets the whole answer to its own request",
         checked=len(ran),
         breaches=[
@@ -57,14 +57,14 @@
 
 
 def check_not_run(
-    seen: list[loads.Seen], counts: list[targets.TargetCounts]
-) -> Verdict:
-    """Check that what was said not to have run did not run."""
+    sent: list[loads.RequestRecord], counts: list[targets.TargetCounts]
+) -> CheckResult:
+    """Check that no request with the outcome not-run reached a target."""
     runs = {found for count in counts for found in count.requests}
-    not_run = [s for s in seen if s.outcome == requests.Outcome.NOT_RUN]
-    return Verdict(
-        name="what is said not to have run has not run",
-        checked=len(seen),
+    not_run = [s for s in sent if s.outcome == requests.Outcome.NOT_RUN]
+    return CheckResult(
+        name="no request reported as not run has run",
+        checked=len(sent),
         breaches=[
             f"request {s.request_id} ran"
             for s in not_run
@@ -74,16 +74,16 @@
 
 
 def check_run_once(
-    seen: list[loads.Seen], counts: list[targets.TargetCounts]
-) -> Verdict:
-    """Check that no run-once request ran twice."""
+    sent: list[loads.RequestRecord], counts: list[targets.TargetCounts]
+) -> CheckResult:
+    """Check that no run-once request ran more than once."""
     runs: dict[str, int] = {}
     for count in counts:
         for key, number in count.keys.items():
             runs[key] = runs.get(key, 0) + number
-    return Verdict(
+    return CheckResult(
         name="a run-once request runs at most once",
-        checked=sum(1 for s in seen if s.key),
+        checked=sum(1 for s in sent if s.key),
         breaches=[
             f"key {key} ran {number} times"
             for key, number in runs.items()
@@ -92,8 +92,8 @@
     )
 
 
-def check_single_run(records: list[workers.RunRecord]) -> Verdict:
-    """Check that no task ran in two places at once."""
+def check_single_run(records: list[workers.RunRecord]) -> CheckResult:
+    """Check that no two attempts of a task ran at the same time."""
     by_task: dict[str, list[workers.RunRecord]] = {}
     for record in records:
         by_task.setdefault(record.task, []).append(record)
@@ -103,7 +103,7 @@
         for one, other in zip(found, found[1:], strict=False):
             if not one.stopped_s or one.stopped_s > other.started_s:
                 breaches.append(f"task {task} ran twice at once")
-    return Verdict(
+    return CheckResult(
         name="no task runs in two places at once",
         checked=len(records),
         breaches=breaches,
@@ -114,13 +114,13 @@
     records: dict[str, list[workers.RunRecord]],
     specs: dict[str, tasks.TaskSpec],
     capacity: resources.Resources,
-) -> Verdict:
-    """Check that no worker held more than it can.
+) -> CheckResult:
+    """Check that the tasks of no worker exceeded its capacity.
 
     Args:
-        records: Records by worker.
-        specs: Tasks by id.
-        capacity: What each worker offers.
+        records: Records of attempts, by worker.
+        specs: Specifications of the tasks, by id.
+        capacity: Capacity of each worker.
     """
     breaches = []
     for worker, found in records.items():
@@ -134,18 +134,18 @@
         for _at_s, is_start, needs in sorted(changes, key=lambda c: c[:2]):
             held = held + needs if is_start else held - needs
             if not held.fits(capacity):
-                breaches.append(f"worker {worker} was over its capacity")
+                breaches.append(f"worker {worker} exceeded its capacity")
                 break
-    return Verdict(
-        name="no worker holds more than it can",
+    return CheckResult(
+        name="no worker exceeds its capacity",
         checked=len(records),
         breaches=breaches,
     )
 
 
-def check_finished(found: list[tasks.Task]) -> Verdict:
+def check_finished(found: list[tasks.Task]) -> CheckResult:
     """Check that each batch job finished."""
-    return Verdict(
+    return CheckResult(
         name="each accepted batch job finishes",
         checked=len(found),
         breaches=[
@@ -156,10 +156,15 @@
     )
 
 
-def check_shutdown(unclean: list[str], checked: int) -> Verdict:
-    """Check that each daemon ended by itself when it was told to."""
-    return Verdict(
+def check_shutdown(unclean: list[str], checked: int) -> CheckResult:
+    """Check that each daemon exited cleanly after SIGTERM.
+
+    Args:
+        unclean: Names of the daemons that did not.
+        checked: Number of daemons that were stopped.
+    """
+    return CheckResult(
         name="each daemon drains and ends by itself",
         checked=checked,
-        breaches=[f"{name} did not" for name in unclean],
+        breaches=[f"{name} did not exit cleanly" for name in unclean],
     )
--- a/wisteriawood/standins/clusters.py
+++ b/wisteriawood/standins/clusters.py
@@ -1,4 +1,4 @@
-"""A small cluster of real processes on this machine, over loopback."""
+"""A small cluster of local processes that communicate over loopback."""
 
 import json
 import pathlib
@@ -25,10 +25,10 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports of loopback on which nobody listens.
+    """Return ports that are free on the loopback interface.
 
     Args:
-        count: How many.
+        count: Number of ports.
     """
     sockets = []
     for _number in range(count):
@@ -47,7 +47,7 @@
     Args:
         name: Name of the process.
         arguments: Arguments of the interpreter.
-        log: File for what it prints.
+        log: File that its output is appended to.
     """
 
     __slots__ = ("arguments", "log", "name", "process")
@@ -69,15 +69,15 @@
             )
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal, if the process still runs."""
+        """Send a signal if the process is running."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
     async def stop(self) -> bool:
-        """Ask the process to end; kill it if it does not.
+        """Send SIGTERM, and SIGKILL if the process has not exited in time.
 
         Returns:
-            Whether it ended by itself with status 0.
+            Whether it exited with status 0 after SIGTERM.
         """
         if self.process is None:
             return True
@@ -89,13 +89,13 @@
         return False
 
 
-class EntryPair:
-    """An entry host's two daemons and their addresses.
+class EntryHostAddresses:
+    """Addresses of the entry and scheduler daemons of an entry host.
 
     Args:
         name: Name of the entry host.
-        zone: Its availability zone.
-        ports: Five free ports.
+        zone: Availability zone of the entry host.
+        ports: Free ports, of which five are used.
     """
 
     __slots__ = (
@@ -119,13 +119,13 @@
 
 
 class LocalCluster:
-    """A platform, workers and entry hosts as processes.
+    """A platform stand-in, workers and entry hosts as local processes.
 
     Args:
         folder: Folder for settings, logs and traces.
         zones: Names of the availability zones.
-        hosts_per_zone: Entry hosts in each zone.
-        workers_per_zone: Workers in each zone.
+        hosts_per_zone: Number of entry hosts in each zone.
+        workers_per_zone: Number of workers in each zone.
         region: Name of the region.
     """
 
@@ -154,7 +154,7 @@
         self.folder = folder
         self.zones = zones
         self.daemons: dict[str, Daemon] = {}
-        self.pairs: dict[str, EntryPair] = {}
+        self.pairs: dict[str, EntryHostAddresses] = {}
         self.worker_addresses: dict[str, str] = {}
         self.platform_url = ""
         self._hosts_per_zone = hosts_per_zone
@@ -163,10 +163,10 @@
         self._client = httpx.AsyncClient(timeout=2.0, trust_env=False)
 
     async def start(self) -> None:
-        """Start all processes and wait until they serve.
+        """Start all processes; wait for the platform and the workers.
 
         Raises:
-            LinkError: One did not come up in time.
+            LinkError: A process did not answer within READY_TIMEOUT_S.
         """
         workers = self._workers_per_zone * len(self.zones)
         hosts = self._hosts_per_zone * len(self.zones)
@@ -184,7 +184,7 @@
             await self._wait_for(f"http://{address}/inventory")
         for zone in self.zones:
             for number in range(1, self._hosts_per_zone + 1):
-                await self._start_pair(zone, number, ports)
+                await self._start_entry_host(zone, number, ports)
 
     async def _start(self, name: str, arguments: list[str]) -> None:
         daemon = Daemon(
@@ -196,11 +196,11 @@
         await daemon.start()
 
     async def start_python(self, name: str, code: str) -> Daemon:
-        """Start a process that runs a line of Python.
+        """Start a Python interpreter that executes the given code.
 
         Args:
             name: Name of the process.
-            code: The line.
+            code: Code to execute, as for the option -c.
         """
         daemon = Daemon(
             name=name,
@@ -243,11 +243,11 @@
         )
         response.raise_for_status()
 
-    async def _start_pair(
+    async def _start_entry_host(
         self, zone: str, number: int, ports: typing.Iterator[int]
     ) -> None:
         name = f"{zone}-{number}"
-        pair = EntryPair(name=name, zone=zone, ports=ports)
+        pair = EntryHostAddresses(name=name, zone=zone, ports=ports)
         self.pairs[name] = pair
         await self.start_scheduler(name)
         await self.start_entry(name)
@@ -288,7 +288,7 @@
         )
 
     async def _start_daemon(
-        self, role: str, pair: EntryPair, settings: dict[str, str]
+        self, role: str, pair: EntryHostAddresses, settings: dict[str, str]
     ) -> None:
         settings = settings | {
             "name": pair.name,
@@ -316,13 +316,13 @@
         )
 
     async def wait_until_ready(self, name: str) -> None:
-        """Wait until an entry host takes requests.
+        """Wait until an entry host is ready for requests.
 
         Args:
             name: Name of the entry host.
 
         Raises:
-            LinkError: It did not in time.
+            LinkError: It was not ready within READY_TIMEOUT_S.
         """
         address = self.pairs[name].entry_operator_address
         await self._wait_for(f"http://{address}/readyz")
@@ -332,10 +332,11 @@
         return platforms.HttpPlatform(url=self.platform_url)
 
     async def set_platform_faults(self, **faults: typing.Any) -> None:
-        """Set the failure switches of the platform.
+        """Set the injected faults of the platform stand-in.
 
         Args:
-            **faults: Fields of PlatformFaults; those left out are off.
+            **faults: Fields of PlatformFaults; the others get their
+                defaults.
         """
         response = await self._client.put(
             f"{self.platform_url}/faults", json=faults
@@ -343,13 +344,13 @@
         response.raise_for_status()
 
     async def get(self, url: str) -> typing.Any:
-        """Return the JSON value that a stand-in or daemon answers."""
+        """Return the JSON value that a stand-in or daemon serves at a URL."""
         response = await self._client.get(url)
         response.raise_for_status()
         return response.json()
 
     def kill(self, name: str) -> None:
-        """End a process at once.
+        """Kill a process with SIGKILL.
 
         Args:
             name: Name of the process.
@@ -357,7 +358,7 @@
         self.daemons[name].send_signal(signal.SIGKILL)
 
     def freeze(self, name: str) -> None:
-        """Hold a process up.
+        """Suspend a process with SIGSTOP.
 
         Args:
             name: Name of the process.
@@ -365,25 +366,25 @@
         self.daemons[name].send_signal(signal.SIGSTOP)
 
     def wake(self, name: str) -> None:
-        """Let a frozen process go on.
+        """Resume a suspended process with SIGCONT.
 
         Args:
             name: Name of the process.
         """
         self.daemons[name].send_signal(signal.SIGCONT)
 
-    async def stop_ours(self) -> list[str]:
-        """Drain our own processes, all at once.
+    async def stop_entry_hosts(self) -> list[str]:
+        """Stop the daemons of all entry hosts concurrently.
 
         Returns:
-            Names of those that did not end cleanly by themselves.
+            Names of the daemons that did not exit cleanly.
         """
         return await self._stop_all(
             [name for name in self.daemons if "/" in name]
         )
 
     async def stop(self) -> None:
-        """End whatever still runs."""
+        """Stop all processes that are running."""
         with anyio.CancelScope(shield=True):
             await self._stop_all(list(self.daemons))
             await self._client.aclose()
--- a/wisteriawood/standins/daemons.py
+++ b/wisteriawood/standins/daemons.py
@@ -1,4 +1,4 @@
-"""Processes of the stand-ins."""
+"""Entry points of the stand-ins that run as processes."""
 
 import signal
 import typing
@@ -12,10 +12,10 @@
 from wisteriawood.standins import targets
 from wisteriawood.standins import workers
 
-PORT_PERIOD_S = 0.02
+STOP_POLL_PERIOD_S = 0.02
 
 
-async def _serve_until_told(app: typing.Any, address: str) -> None:
+async def _serve_until_signal(app: typing.Any, address: str) -> None:
     stopping = anyio.Event()
     async with anyio.create_task_group() as group:
 
@@ -33,44 +33,47 @@
 
 
 async def run_platform(*, address: str) -> None:
-    """Run the stand-in of the platform.
+    """Run the platform stand-in until SIGTERM or SIGINT.
 
     Args:
-        address: Where it listens, as host:port.
+        address: Address to listen on, as host:port.
     """
     platform = platform_standins.MemoryPlatform()
     app = platform_standins.PlatformApp(platform=platform).make_app()
-    await _serve_until_told(app, address)
+    await _serve_until_signal(app, address)
 
 
 async def run_target(
     *, name: str, address: str, slots: int, service_s: float
 ) -> None:
-    """Run the stand-in of a target.
+    """Run a target stand-in until SIGTERM or SIGINT.
 
     Args:
         name: Name of the target.
-        address: Where it listens, as host:port.
-        slots: Requests that it should get at once.
-        service_s: Time that each request takes.
+        address: Address to listen on, as host:port.
+        slots: Largest number of requests it should have in flight.
+        service_s: Service time of each request in seconds.
     """
     target = targets.StandinTarget(name=name, slots=slots, service_s=service_s)
-    await _serve_until_told(target.make_app(), address)
+    await _serve_until_signal(target.make_app(), address)
 
 
 class TargetServers:
-    """Serves the targets of a worker's services, each on a free port.
+    """Serves the targets of a worker's service attempts, one port each.
 
     Args:
-        host: Address that they listen on.
-        ports: Their ports.
+        host: Host name or IP address that the targets listen on.
+        ports: Ports that the targets listen on.
+
+    Attributes:
+        served: All targets that are or were served.
     """
 
-    __slots__ = ("_count", "_free", "_host", "served")
+    __slots__ = ("_count", "_free_ports", "_host", "served")
 
     def __init__(self, *, host: str, ports: list[int]):
         self._count = len(ports)
-        self._free = list(ports)
+        self._free_ports = list(ports)
         self._host = host
         self.served: list[targets.StandinTarget] = []
 
@@ -78,7 +81,7 @@
         """Serve the target of an attempt until it stops.
 
         Args:
-            attempt: The attempt; it learns the address.
+            attempt: The attempt; its address is set.
         """
         target = targets.StandinTarget(
             name=attempt.spec.id,
@@ -86,17 +89,17 @@
             service_s=float(attempt.spec.arguments.get("service_s", 0.01)),
         )
         self.served.append(target)
-        port = self._free.pop(0)
+        port = self._free_ports.pop(0)
         attempt.address = f"{self._host}:{port}"
         await https.serve_until(
             target.make_app(), attempt.address, attempt.stop
         )
-        self._free.append(port)
+        self._free_ports.append(port)
 
     async def wait_until_stopped(self) -> None:
-        """Wait until no target is served."""
-        while len(self._free) < self._count:
-            await anyio.sleep(PORT_PERIOD_S)
+        """Wait until all targets have stopped."""
+        while len(self._free_ports) < self._count:
+            await anyio.sleep(STOP_POLL_PERIOD_S)
 
 
 async def run_worker(
@@ -107,14 +110,14 @@
     capacity: resources.Resources,
     target_ports: list[int],
 ) -> None:
-    """Run the stand-in of a worker.
+    """Run a worker stand-in until SIGTERM or SIGINT.
 
     Args:
         name: Name of the worker.
-        address: Where it listens, as host:port.
-        platform_url: Base address of the platform, for checkpoints.
-        capacity: What it offers.
-        target_ports: Ports for the targets that it serves.
+        address: Address to listen on, as host:port.
+        platform_url: Base URL of the platform, which stores checkpoints.
+        capacity: Resources that the worker offers.
+        target_ports: Ports for the targets of its service attempts.
     """
     host = address.rsplit(":", 1)[0]
     servers = TargetServers(host=host, ports=target_ports)
@@ -127,7 +130,7 @@
     app = workers.WorkerApp(worker=worker, served=servers.served).make_app()
     async with anyio.create_task_group() as group:
         group.start_soon(worker.run)
-        await _serve_until_told(app, address)
+        await _serve_until_signal(app, address)
         for attempt in worker.attempts.values():
             attempt.stop.set()
         await servers.wait_until_stopped()
--- a/wisteriawood/standins/demos.py
+++ b/wisteriawood/standins/demos.py
@@ -1,4 +1,4 @@
-"""The demo: a small cluster under load, with failures in between."""
+"""The demo: a small cluster under load, with injected failures."""
 
 import functools
 import pathlib
@@ -32,19 +32,19 @@
 
 EXAMPLES = pathlib.Path(questionnaire.__file__).parent / "examples"
 
-Say = typing.Callable[[str], None]
+PrintLine = typing.Callable[[str], None]
 
 
 class Demo:
     """Runs the demo once.
 
     Args:
-        team: Team whose zones and service are shown.
-        zones: Its availability zones.
-        service: Its service.
+        team: Name of the team.
+        zones: Availability zones of the team.
+        service: Service that receives the load.
         say: Prints one line.
         folder: Folder for settings, logs and traces.
-        seed: Seed of the load.
+        seed: Seed of the load and of the batch jobs.
     """
 
     __slots__ = (
@@ -66,7 +66,7 @@
         team: str,
         zones: list[str],
         service: str,
-        say: Say,
+        say: PrintLine,
         folder: pathlib.Path,
         seed: int = 1,
     ):
@@ -85,8 +85,8 @@
         elapsed_s = anyio.current_time() - self._started_s
         self._say(f"{elapsed_s:5.1f} s  {text}")
 
-    async def run(self) -> list[checks.Verdict]:
-        """Run the demo and return what was checked."""
+    async def run(self) -> list[checks.CheckResult]:
+        """Run the demo and return the results of the checks."""
         self._started_s = anyio.current_time()
         try:
             return await self._run()
@@ -95,7 +95,7 @@
                 await self._load.aclose()
             await self._cluster.stop()
 
-    async def _run(self) -> list[checks.Verdict]:
+    async def _run(self) -> list[checks.CheckResult]:
         self._progress("starting the platform, workers and entry hosts")
         await self._cluster.start()
         await self._configure()
@@ -116,7 +116,7 @@
         )
         async with anyio.create_task_group() as group:
             group.start_soon(self._send)
-            group.start_soon(self._break_things)
+            group.start_soon(self._inject_faults)
         return await self._finish()
 
     async def _configure(self) -> None:
@@ -143,15 +143,15 @@
             parts = [f"{n} {name}" for name, n in sorted(outcomes.items())]
             self._progress(f"requests: {', '.join(parts)}")
 
-    async def _break_things(self) -> None:
+    async def _inject_faults(self) -> None:
         await anyio.sleep(KILL_AFTER_S)
         name = next(iter(self._cluster.pairs))
         self._cluster.kill(f"entry/{name}")
         self._cluster.kill(f"scheduler/{name}")
         self._progress(f"killed entry host {name}")
-        # The balancer notices a little later.
+        # A load balancer detects the failure with a delay.
         await anyio.sleep(1.0)
-        self._load.drop(self._cluster.pairs[name].caller_address)
+        self._load.remove_address(self._cluster.pairs[name].caller_address)
         await anyio.sleep(OUTAGE_AFTER_S - KILL_AFTER_S - 1.0)
         await self._cluster.set_platform_faults(down=True)
         self._progress("the platform is down")
@@ -159,13 +159,13 @@
         await self._cluster.set_platform_faults()
         self._progress("the platform is back")
 
-    async def _finish(self) -> list[checks.Verdict]:
-        self._progress(f"sent {len(self._load.seen)} requests")
+    async def _finish(self) -> list[checks.CheckResult]:
+        self._progress(f"sent {len(self._load.sent)} requests")
         batch = await self._wait_for_jobs()
         self._progress("stopping the entry hosts while requests are sent")
-        verdicts = await self._check(batch)
-        self._print(batch, verdicts)
-        return verdicts
+        results = await self._check(batch)
+        self._print(batch, results)
+        return results
 
     async def _wait_for_jobs(self) -> list[tasks.Task]:
         ids = [
@@ -183,16 +183,18 @@
                 return found
             await anyio.sleep(0.5)
 
-    async def _check(self, batch: list[tasks.Task]) -> list[checks.Verdict]:
+    async def _check(
+        self, batch: list[tasks.Task]
+    ) -> list[checks.CheckResult]:
         cluster = self._cluster
         alive = [name for name in cluster.pairs][1:]
         unclean: list[str] = []
 
         async def _stop() -> None:
-            stopped = await cluster.stop_ours()
+            stopped = await cluster.stop_entry_hosts()
             unclean.extend(n for n in stopped if n.split("/")[1] in alive)
 
-        before = len(self._load.seen)
+        before = len(self._load.sent)
         async with anyio.create_task_group() as group:
             group.start_soon(
                 functools.partial(
@@ -200,9 +202,11 @@
                 )
             )
             group.start_soon(_stop)
-        cut = [s for s in self._load.seen[before:] if s.outcome == loads.LOST]
+        cut = [
+            s for s in self._load.sent[before:] if s.outcome == loads.NO_ANSWER
+        ]
         self._progress(
-            f"{len(self._load.seen) - before} more requests, {len(cut)} cut"
+            f"{len(self._load.sent) - before} more requests, {len(cut)} cut"
         )
         counts: list[targets.TargetCounts] = []
         records: dict[str, list[workers.RunRecord]] = {}
@@ -218,7 +222,7 @@
             )
         attempts = sum(len(found) for found in records.values())
         self._reruns = attempts - len(self._specs)
-        seen = self._load.seen
+        sent = self._load.sent
         capacity = resources.Resources(
             cores=clusters.WORKER_CORES,
             memory_bytes=clusters.WORKER_MEMORY_BYTES,
@@ -226,31 +230,35 @@
         return [
             checks.check_capacity(records, self._specs, capacity),
             checks.check_single_run(sum(records.values(), [])),
-            checks.check_answers(seen),
-            checks.check_not_run(seen, counts),
-            checks.check_run_once(seen, counts),
+            checks.check_answers(sent),
+            checks.check_not_run(sent, counts),
+            checks.check_run_once(sent, counts),
             checks.check_slots(counts),
             checks.check_finished(batch),
             checks.check_shutdown(unclean, 2 * len(alive)),
         ]
 
     def _print(
-        self, batch: list[tasks.Task], verdicts: list[checks.Verdict]
+        self, batch: list[tasks.Task], results: list[checks.CheckResult]
     ) -> None:
         p50_ms, p99_ms = self._load.quantiles_ms(0.5, 0.99)
         done = sum(t.state == tasks.TaskState.FINISHED for t in batch)
         self._say("")
         for outcome, number in sorted(self._load.outcomes().items()):
             self._say(f"{'requests: ' + outcome:<56}{number:>8}")
-        self._say(f"{'latency of those that ran, p50':<56}{p50_ms:>5.1f} ms")
-        self._say(f"{'latency of those that ran, p99':<56}{p99_ms:>5.1f} ms")
+        self._say(
+            f"{'latency of requests that ran, p50':<56}{p50_ms:>5.1f} ms"
+        )
+        self._say(
+            f"{'latency of requests that ran, p99':<56}{p99_ms:>5.1f} ms"
+        )
         self._say(f"{'batch jobs finished':<56}{done:>5} of {len(batch)}")
-        self._say(f"{'evictions and lapsed leases':<56}{self._reruns:>8}")
+        self._say(f"{'evictions and expired leases':<56}{self._reruns:>8}")
         self._say("")
-        for verdict in verdicts:
-            text = "holds" if verdict.holds() else "BROKEN"
-            self._say(f"{verdict.name:<56}{text:>8} ({verdict.checked})")
-            for breach in verdict.breaches[:3]:
+        for result in results:
+            text = "holds" if result.holds() else "BROKEN"
+            self._say(f"{result.name:<56}{text:>8} ({result.checked})")
+            for breach in result.breaches[:3]:
                 self._say(f"    {breach}")
 
     async def _submit(self, zone: str, specs: list[tasks.TaskSpec]) -> None:
@@ -302,7 +310,7 @@
 }
 
 
-async def run(*, team: str, say: Say, folder: pathlib.Path) -> bool:
+async def run(*, team: str, say: PrintLine, folder: pathlib.Path) -> bool:
     """Run the demo for a team.
 
     Args:
@@ -317,5 +325,5 @@
     demo = Demo(
         team=team, zones=zones, service=service, say=say, folder=folder
     )
-    verdicts = await demo.run()
-    return all(verdict.holds() for verdict in verdicts)
+    results = await demo.run()
+    return all(result.holds() for result in results)
--- a/wisteriawood/standins/job_worlds.py
+++ b/wisteriawood/standins/job_worlds.py
@@ -1,4 +1,4 @@
-"""A world in memory for jobs: a store, workers and job hosts."""
+"""A simulated cluster for jobs: a store, workers and job hosts."""
 
 import collections
 import typing
@@ -23,17 +23,18 @@
 
 
 class JobWorld:
-    """Hosts, workers and a store in one process.
+    """Job hosts, workers and a store that run in one process.
 
     Args:
-        group: Runs all of them.
+        group: Task group that runs the hosts and workers.
         zones: Names of the availability zones.
-        hosts_per_zone: Hosts in each.
-        workers_per_zone: Workers in each.
+        hosts_per_zone: Number of job hosts in each zone.
+        workers_per_zone: Number of workers in each zone.
 
     Attributes:
-        work_s: Work of a task, by the start of its name.
-        failing: Workers that fail all that they start.
+        work_s: Run time at full speed, in seconds, of the tasks of a job,
+            by job id; DEFAULT_WORK_S for other jobs.
+        failing: Names of workers on which every run fails.
     """
 
     __slots__ = (
@@ -75,11 +76,11 @@
                 self.start_host(f"host-{zone}-{number}", zone)
 
     def add_worker(self, name: str, zone: str) -> None:
-        """Add a worker.
+        """Add a worker and publish the directory.
 
         Args:
-            name: Its id.
-            zone: Its availability zone.
+            name: Id of the worker.
+            zone: Availability zone of the worker.
         """
         worker = run_standins.MemoryWorker(
             registration=runners.Registration(
@@ -100,16 +101,18 @@
         )
         self.workers[name] = worker
         self._group.start_soon(worker.run)
-        self.list_workers()
+        self.publish_directory()
 
     def _work_s(self, task_name: str) -> float:
         return self.work_s.get(task_name.partition(".")[0], DEFAULT_WORK_S)
 
-    def list_workers(self, *, missing: typing.Collection[str] = ()) -> None:
-        """Have all hosts read the directory.
+    def publish_directory(
+        self, *, missing: typing.Collection[str] = ()
+    ) -> None:
+        """Pass the current directory of workers to all hosts.
 
         Args:
-            missing: Workers that it does not list.
+            missing: Workers to leave out of the directory.
         """
         fleet = {
             name: worker.registration
@@ -120,12 +123,12 @@
             host.use_fleet(fleet)
 
     def start_host(self, name: str, zone: str, cores: float = 1.0) -> None:
-        """Start the process of a host.
+        """Start a job host.
 
         Args:
             name: Name of the host.
-            zone: Its availability zone.
-            cores: Processor that it may use.
+            zone: Availability zone of the host.
+            cores: Number of CPU cores that the host may use.
         """
 
         def _dial(found: runners.Registration) -> runners.RunLink:
@@ -147,14 +150,14 @@
         self.hosts[name] = host
         self._scopes[name] = anyio.CancelScope()
         self._group.start_soon(self._run_host, name, host)
-        self.list_workers()
+        self.publish_directory()
 
     async def _run_host(self, name: str, host: job_hosts.JobHost) -> None:
         with self._scopes[name]:
             await host.run()
 
     def kill_host(self, name: str) -> None:
-        """End the process of a host without any notice.
+        """Stop a host immediately, without a graceful shutdown.
 
         Args:
             name: Name of the host.
@@ -163,16 +166,16 @@
         del self.hosts[name]
 
     def intake(self, host: str = "") -> intakes.Intake:
-        """Return the intake of a host.
+        """Return an intake of a host.
 
         Args:
-            host: Its name; empty for the first.
+            host: Name of the host; empty for the first by name.
         """
         name = host or min(self.hosts)
         return intakes.Intake(host=self.hosts[name])
 
     def holder_of(self, cell: str) -> str:
-        """Return the host that works for a cell; empty for none.
+        """Return the host that holds a cell; empty for none.
 
         Args:
             cell: Name of the cell.
@@ -185,12 +188,12 @@
     async def submit(
         self, job_id: str, steps: list[specs.StepSpec], host: str = ""
     ) -> None:
-        """Hand a job in.
+        """Submit a job.
 
         Args:
-            job_id: Its id.
-            steps: Its steps.
-            host: Host that takes it; empty for the first.
+            job_id: Id of the job.
+            steps: Steps of the job.
+            host: Host that accepts the job; empty for the first by name.
         """
         spec = specs.JobSpec(id=job_id, queue=self.queue, steps=steps)
         await self.intake(host).submit(spec, 3.0)
@@ -202,16 +205,16 @@
         timeout_s: float = 60.0,
         host: str = "",
     ) -> float:
-        """Wait until a job has a state; return how long it took.
+        """Wait until a job is in a state; return the wait in seconds.
 
         Args:
-            job_id: Its id.
-            state: The state.
-            timeout_s: Longest wait.
-            host: Host that is asked; empty for the first.
+            job_id: Id of the job.
+            state: State to wait for.
+            timeout_s: Longest wait in seconds.
+            host: Host to query; empty for the first by name.
 
         Raises:
-            TimeoutError: It did not come to that state.
+            TimeoutError: The job was not in that state in time.
         """
         began_at_s = anyio.current_time()
         with anyio.fail_after(timeout_s):
@@ -220,7 +223,10 @@
         return anyio.current_time() - began_at_s
 
     def starts(self) -> dict[str, list[tuple[int, float, str]]]:
-        """Return all runs that ever began, by task."""
+        """Return all runs that were started, by task.
+
+        Each is a tuple of run number, start time in seconds and worker id.
+        """
         found = collections.defaultdict(list)
         for worker in self.workers.values():
             for name, run, at_s in worker.starts:
@@ -228,7 +234,10 @@
         return dict(found)
 
     def ends(self) -> dict[str, list[tuple[int, str, float]]]:
-        """Return all ends of runs, by task."""
+        """Return all ends of runs, by task.
+
+        Each is a tuple of run number, outcome and end time in seconds.
+        """
         found = collections.defaultdict(list)
         for worker in self.workers.values():
             for name, run, outcome, at_s in worker.ends:
--- a/wisteriawood/standins/loads.py
+++ b/wisteriawood/standins/loads.py
@@ -1,4 +1,4 @@
-"""Callers that send requests and record what they saw."""
+"""Simulated callers that send requests and record the answers."""
 
 import dataclasses
 import itertools
@@ -16,41 +16,44 @@
 RELATIVE_ACCURACY = 0.01
 PAUSE_S = 0.02
 CALL_TIMEOUT_S = 8.0
-LOST = "no answer"
+NO_ANSWER = "no answer"
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Seen:
-    """What a caller saw of one request.
+class RequestRecord:
+    """A request and its answer, as seen by the caller.
 
     Attributes:
-        body: Body that it sent, unlike any other.
-        request_id: Id that the answer carried; empty if there was none.
-        key: Idempotency key; empty if repeatable.
-        outcome: Outcome header, or that there was no answer.
+        body: Body of the request; unique unless the request is a retry.
+        request_id: Request id in the answer; empty if there was none.
+        key: Idempotency key; empty for a repeatable request.
+        outcome: Outcome header of the answer, or NO_ANSWER.
         status: HTTP status; 0 if there was no answer.
-        is_own: Whether the answer's body was that of the request.
-        latency_s: Time until the answer.
+        is_own: Whether the body of the answer equals that of the request.
+        latency_s: Time until the answer, in seconds.
     """
 
     body: str
     request_id: str = ""
     key: str = ""
-    outcome: str = LOST
+    outcome: str = NO_ANSWER
     status: int = 0
     is_own: bool = False
     latency_s: float = 0.0
 
 
 class Load:
-    """Callers behind a balancer that knows which entry hosts are ready.
+    """Callers behind a round-robin load balancer.
 
     Args:
         addresses: Addresses of the entry hosts, as host:port.
         path: Path of the service.
-        rng: Chooses requests.
+        rng: Source of random request classes and pauses.
         run_once_share: Share of run-once requests, 0 to 1.
-        pause_s: Average pause of a caller between requests, in seconds.
+        pause_s: Mean pause of a caller between requests, in seconds.
+
+    Attributes:
+        sent: Records of all requests.
     """
 
     __slots__ = (
@@ -61,7 +64,7 @@
         "_pause_s",
         "_rng",
         "_run_once_share",
-        "seen",
+        "sent",
     )
 
     def __init__(
@@ -84,22 +87,23 @@
             trust_env=False,
             limits=httpx.Limits(max_connections=200),
         )
-        self.seen: list[Seen] = []
+        self.sent: list[RequestRecord] = []
 
-    def drop(self, address: str) -> None:
-        """Stop sending to an entry host, as a balancer would.
+    def remove_address(self, address: str) -> None:
+        """Stop sending requests to an entry host that is not ready.
 
         Args:
-            address: Its address, as host:port.
+            address: Address of the entry host, as host:port.
         """
         self._addresses.remove(address)
 
     async def run(self, *, callers_at_once: int, seconds: float) -> None:
-        """Send requests for some time.
+        """Send requests for a given time.
 
         Args:
-            callers_at_once: Callers, each with one request at a time.
-            seconds: How long they go on.
+            callers_at_once: Number of callers; each has at most one
+                request in flight.
+            seconds: Duration in seconds.
         """
         ends_at_s = anyio.current_time() + seconds
         async with anyio.create_task_group() as group:
@@ -111,56 +115,58 @@
             key = ""
             if self._rng.random() < self._run_once_share:
                 key = uuid.uuid4().hex
-            seen = await self.call(key=key)
-            if key and seen.outcome != requests.Outcome.RAN:
-                # A caller who must know tries the same key again.
-                await self.call(key=key, body=seen.body)
+            record = await self.call(key=key)
+            if key and record.outcome != requests.Outcome.RAN:
+                # Retries with the same key to learn the outcome.
+                await self.call(key=key, body=record.body)
             await anyio.sleep(self._rng.uniform(0.0, 2 * self._pause_s))
 
-    async def call(self, *, key: str = "", body: str = "") -> Seen:
-        """Send one request and record what comes back.
+    async def call(self, *, key: str = "", body: str = "") -> RequestRecord:
+        """Send one request and record the answer.
 
         Args:
-            key: Idempotency key; empty if repeatable.
-            body: Body; empty for a new one.
+            key: Idempotency key; empty for a repeatable request.
+            body: Body of the request; empty for a new unique one.
         """
-        seen = Seen(body=body or uuid.uuid4().hex, key=key)
-        self.seen.append(seen)
+        record = RequestRecord(body=body or uuid.uuid4().hex, key=key)
+        self.sent.append(record)
         headers = {callers.KEY_HEADER: key} if key else {}
         number = next(self._next) % len(self._addresses)
         started_s = anyio.current_time()
         try:
             response = await self._client.post(
                 f"http://{self._addresses[number]}{self._path}",
-                content=seen.body,
+                content=record.body,
                 headers=headers,
             )
         except httpx.HTTPError:
-            return seen
-        seen.latency_s = anyio.current_time() - started_s
-        seen.status = response.status_code
-        seen.outcome = response.headers.get(callers.OUTCOME_HEADER, LOST)
-        seen.request_id = response.headers.get(targets.REQUEST_ID_HEADER, "")
-        seen.is_own = response.text == seen.body
-        return seen
+            return record
+        record.latency_s = anyio.current_time() - started_s
+        record.status = response.status_code
+        record.outcome = response.headers.get(
+            callers.OUTCOME_HEADER, NO_ANSWER
+        )
+        record.request_id = response.headers.get(targets.REQUEST_ID_HEADER, "")
+        record.is_own = response.text == record.body
+        return record
 
     def outcomes(self) -> dict[str, int]:
-        """Return the number of requests of each outcome."""
+        """Return the number of requests by outcome."""
         counts: dict[str, int] = {}
-        for seen in self.seen:
-            counts[seen.outcome] = counts.get(seen.outcome, 0) + 1
+        for record in self.sent:
+            counts[record.outcome] = counts.get(record.outcome, 0) + 1
         return counts
 
     def quantiles_ms(self, *quantiles: float) -> list[float]:
-        """Return quantiles of the latency of requests that were answered.
+        """Return latency quantiles, in milliseconds, of answered requests.
 
         Args:
             *quantiles: Quantiles, 0 to 1.
         """
         sketch = ddsketch.DDSketch(RELATIVE_ACCURACY)
-        for seen in self.seen:
-            if seen.is_own:
-                sketch.add(1000 * seen.latency_s)
+        for record in self.sent:
+            if record.is_own:
+                sketch.add(1000 * record.latency_s)
         return [
             sketch.get_quantile_value(quantile) or 0.0
             for quantile in quantiles
--- a/wisteriawood/standins/platforms.py
+++ b/wisteriawood/standins/platforms.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the platform, with failure switches."""
+"""Stand-in for the platform with fault injection."""
 
 import dataclasses
 
@@ -13,20 +13,21 @@
 from wisteriawood.links.codecs import rows
 from wisteriawood.links import platforms
 
-OUTCOMES_KEPT = 100_000
+MAX_OUTCOMES = 100_000
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class PlatformFaults:
-    """Failure switches of the stand-in.
+    """Faults to inject.
 
     Attributes:
         down: Whether every call fails without effect.
-        objects_down: Whether only the object store fails.
+        objects_down: Whether calls to the object store fail.
         slow_s: Delay before each call in seconds.
-        answers_lost: Number of commits whose answer will be lost after
-            the write has taken effect.
-        hosts_lag_s: Seconds by which the host list lags.
+        answers_lost: Number of subsequent commits that are applied but
+            whose answers are lost.
+        hosts_lag_s: Delay in seconds until a change of the hosts is
+            visible in the host list.
     """
 
     down: bool = False
@@ -38,12 +39,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class PlatformCounts:
-    """Calls that the stand-in has carried out.
+    """Numbers of calls that the stand-in has executed.
 
     Attributes:
-        reads: Reads and scans.
-        writes: Transactions with writes.
-        conflicts: Transactions refused.
+        reads: All reads, of rows, ranges, transaction outcomes and hosts.
+        writes: Committed transactions.
+        conflicts: Transactions rejected because a condition did not hold.
     """
 
     reads: int = 0
@@ -52,7 +53,7 @@
 
 
 class MemoryPlatform:
-    """The platform in memory, with the interface of the link."""
+    """The platform in memory, with the interface of the platform link."""
 
     __slots__ = (
         "_host_changes",
@@ -73,7 +74,7 @@
         self._outcomes: dict[str, platforms.Result] = {}
         self._sequence = 0
 
-    async def _enter(self) -> None:
+    async def _apply_faults(self) -> None:
         if self.faults.slow_s:
             await anyio.sleep(self.faults.slow_s)
         if self.faults.down:
@@ -81,7 +82,7 @@
 
     async def read(self, key: str) -> platforms.Row | None:
         """Return a row, or None if there is none."""
-        await self._enter()
+        await self._apply_faults()
         self.counts.reads += 1
         return self.table.get(key)
 
@@ -92,8 +93,8 @@
         after: str = "",
         limit: int = platforms.SCAN_LIMIT,
     ) -> list[platforms.Row]:
-        """Return rows in the order of keys."""
-        await self._enter()
+        """Return the rows whose keys have a prefix, in key order."""
+        await self._apply_faults()
         self.counts.reads += 1
         found = []
         start = max(prefix, after)
@@ -107,13 +108,16 @@
     async def commit(
         self, transaction: platforms.Transaction
     ) -> platforms.Result:
-        """Commit a transaction and return its outcome."""
-        await self._enter()
+        """Commit a transaction and return its result.
+
+        A transaction with a known id is not applied again.
+        """
+        await self._apply_faults()
         result = self._outcomes.get(transaction.id)
         if result is None:
             result = self._apply(transaction)
             self._outcomes[transaction.id] = result
-            if len(self._outcomes) > OUTCOMES_KEPT:
+            if len(self._outcomes) > MAX_OUTCOMES:
                 self._outcomes.pop(next(iter(self._outcomes)))
         if self.faults.answers_lost > 0:
             self.faults.answers_lost -= 1
@@ -145,33 +149,33 @@
         return row.version if row else 0
 
     async def outcome(self, transaction_id: str) -> platforms.Result | None:
-        """Return the outcome of a transaction, or None if unknown."""
-        await self._enter()
+        """Return the result of a transaction, or None if it is unknown."""
+        await self._apply_faults()
         self.counts.reads += 1
         return self._outcomes.get(transaction_id)
 
     async def put_object(self, key: str, data: bytes) -> None:
         """Store an object."""
-        await self._enter()
-        self._enter_objects()
+        await self._apply_faults()
+        self._apply_object_faults()
         self.objects[key] = data
 
     async def get_object(self, key: str) -> bytes | None:
         """Return an object, or None if there is none."""
-        await self._enter()
-        self._enter_objects()
+        await self._apply_faults()
+        self._apply_object_faults()
         return self.objects.get(key)
 
-    def _enter_objects(self) -> None:
+    def _apply_object_faults(self) -> None:
         if self.faults.objects_down:
             raise errors.PlatformUnavailableError("the object store is down")
 
     def put_host(self, host: platforms.Host) -> None:
-        """Add or change a host; the list shows it after its lag."""
+        """Add or update a host; visible in the list after hosts_lag_s."""
         self._change_hosts({host.name: host})
 
     def remove_host(self, name: str) -> None:
-        """Remove a host; the list shows it after its lag."""
+        """Remove a host; visible in the list after hosts_lag_s."""
         self._change_hosts({name: None})
 
     def _change_hosts(self, change: dict) -> None:
@@ -179,15 +183,15 @@
         self._host_changes.append((visible_at_s, change))
 
     async def hosts(self) -> list[platforms.Host]:
-        """Return the host list as it was before its lag."""
-        await self._enter()
+        """Return the host list, without changes that are not yet visible."""
+        await self._apply_faults()
         self.counts.reads += 1
         now_s = anyio.current_time()
-        shown: dict[str, platforms.Host | None] = {}
+        visible: dict[str, platforms.Host | None] = {}
         for visible_at_s, change in self._host_changes:
             if visible_at_s <= now_s:
-                shown.update(change)
-        return [host for host in shown.values() if host is not None]
+                visible.update(change)
+        return [host for host in visible.values() if host is not None]
 
 
 def _refuse(exc: errors.PlatformError) -> responses.Response:
@@ -204,7 +208,7 @@
 
 
 class PlatformApp:
-    """The stand-in over HTTP.
+    """HTTP interface of the platform stand-in.
 
     Args:
         platform: The platform in memory.
@@ -261,7 +265,7 @@
         return _json(await self.platform.hosts())
 
     async def faults(self, request: requests.Request) -> responses.Response:
-        """Answer PUT /faults: set the failure switches."""
+        """Answer PUT /faults: set the faults to inject."""
         self.platform.faults = rows.from_json(
             await request.body(), PlatformFaults
         )
@@ -272,7 +276,7 @@
         return _json(self.platform.counts)
 
     def make_app(self) -> applications.Starlette:
-        """Return the application."""
+        """Return the ASGI application."""
 
         async def _answer_refusal(_request, exc):
             return _refuse(exc)
--- a/wisteriawood/standins/processes.py
+++ b/wisteriawood/standins/processes.py
@@ -1,7 +1,8 @@
-"""Processes of ours and their links in memory: cuts, freezes and kills.
+"""Simulated processes and links that can be cut, frozen and killed.
 
-Runs in virtual time: each process is a cancel scope, each link a call
-that a cut or a freeze can hold up or break.
+A process is a cancel scope, and a link carries direct method calls, which
+a cut, a frozen process or a killed process delays or fails. Tests run the
+simulation in virtual time.
 """
 
 import functools
@@ -24,10 +25,15 @@
 
 
 class Process:
-    """One process of ours, which can be frozen and killed.
+    """A simulated process that can be frozen and killed.
 
     Args:
         name: Name of the process.
+
+    Attributes:
+        is_alive: Whether the process has not been killed.
+        scope: Cancel scope in which the process runs.
+        thawed: Event that is set while the process is not frozen.
     """
 
     __slots__ = ("is_alive", "name", "scope", "thawed")
@@ -40,30 +46,30 @@
         self.thawed.set()
 
     def freeze(self) -> None:
-        """Hold up whatever it sends and receives."""
+        """Suspend its calls and messages, as SIGSTOP does."""
         if self.thawed.is_set():
             self.thawed = anyio.Event()
 
     def wake(self) -> None:
-        """Let it go on where it was."""
+        """Resume it after a freeze, as SIGCONT does."""
         self.thawed.set()
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill it immediately."""
         self.is_alive = False
         self.scope.cancel()
 
 
 class GuardedLink:
-    """Calls of one process to one other, as the network lets them.
+    """Calls from one process to another, subject to injected faults.
 
     Args:
-        world: The world that knows the cuts.
+        world: Environment that holds the cuts and delays.
         process: The calling process.
-        peer: Name of the called one.
-        inner: Object that carries the calls out.
-        unsent: Makes the error of a call that had no effect.
-        unknown: Makes the error of a call that may have had one.
+        peer: Name of the process that is called.
+        inner: Object that executes the calls.
+        unsent: Makes the error for a call that had no effect.
+        unknown: Makes the error for a call that may have had an effect.
     """
 
     __slots__ = (
@@ -94,9 +100,9 @@
 
     def __getattr__(self, name: str) -> typing.Any:
         call = getattr(self._inner, name)
-        return functools.partial(self._guard, call)
+        return functools.partial(self._call, call)
 
-    async def _guard(self, call, *args, **kwargs) -> typing.Any:
+    async def _call(self, call, *args, **kwargs) -> typing.Any:
         await self._process.thawed.wait()
         world = self._world
         name = self._process.name
@@ -107,7 +113,7 @@
             await anyio.sleep(CALL_TIMEOUT_S)
             raise self._unknown("no answer")
         if world.delay_s(name, self._peer):
-            call = functools.partial(self._deliver, call)
+            call = functools.partial(self._call_with_delay, call)
         result = await call(*args, **kwargs)
         await anyio.sleep(world.delay_s(self._peer, name))
         if world.is_cut(self._peer, name):
@@ -116,9 +122,9 @@
         await self._process.thawed.wait()
         return result
 
-    async def _deliver(self, call, *args, **kwargs) -> typing.Any:
-        """Let a call arrive after its delay, though its caller be dead."""
-        delivery = Delivery(
+    async def _call_with_delay(self, call, *args, **kwargs) -> typing.Any:
+        """Make a call that arrives even if its caller has been killed."""
+        delivery = DelayedCall(
             delay_s=self._delay_s(),
             is_dead=functools.partial(self._world.is_dead, self._peer),
         )
@@ -135,12 +141,17 @@
         return self._world.delay_s(self._process.name, self._peer)
 
 
-class Delivery:
-    """One call on its way.
+class DelayedCall:
+    """A call that is executed after a network delay.
 
     Args:
-        delay_s: Time that it takes in seconds.
-        is_dead: Tells whether nobody is there to receive it.
+        delay_s: Delay in seconds.
+        is_dead: Returns whether the called process has been killed.
+
+    Attributes:
+        done: Event that is set when the call has returned.
+        error: Error that the call raised, if any.
+        result: Return value of the call.
     """
 
     __slots__ = ("_delay_s", "_is_dead", "done", "error", "result")
@@ -153,7 +164,7 @@
         self.result: typing.Any = None
 
     async def run(self, call, args, kwargs) -> None:
-        """Carry the call out after its delay."""
+        """Execute the call after the delay, unless the receiver is dead."""
         await anyio.sleep(self._delay_s)
         if self._is_dead():
             return
@@ -165,10 +176,10 @@
 
 
 class GuardedChannel:
-    """One end of a peer link, as the network lets it.
+    """One end of a peer link, subject to injected faults.
 
     Args:
-        world: The world that knows the cuts.
+        world: Environment that holds the cuts and delays.
         process: The process at this end.
         peer: Name of the process at the other end.
         inner: The channel in memory.
@@ -190,7 +201,7 @@
         self._inner = inner
 
     async def send(self, message: typing.Any) -> None:
-        """Send a message; a cut loses it."""
+        """Send a message; it is lost if the link is cut."""
         await self._process.thawed.wait()
         if self._world.is_cut(self._process.name, self._peer):
             return
@@ -208,12 +219,12 @@
         await self._inner.aclose()
 
 
-class MemoryTarget:
-    """Link to a stand-in target in memory.
+class MemoryTargetLink:
+    """Link to a target stand-in in the same process.
 
     Args:
-        group: Runs what the target has taken, though the caller be gone.
-        target: The stand-in.
+        group: Task group that runs requests after their caller has gone.
+        target: The target stand-in.
     """
 
     __slots__ = ("_group", "_target")
@@ -225,7 +236,13 @@
     async def send(
         self, request: requests.Request, *, timeout_s: float
     ) -> requests.Answer:
-        """Run a request and return its whole answer."""
+        """Send a request and return the complete answer.
+
+        Raises:
+            RequestNotRunError: The latest time to send it has passed.
+            RequestUnknownError: There was no answer within timeout_s, or
+                the answer belongs to another request.
+        """
         if anyio.current_time() >= request.send_by_s:
             raise errors.RequestNotRunError(reason=target_links.TOO_LATE)
         replies: list[targets.Reply] = []
@@ -248,10 +265,12 @@
             raise errors.RequestUnknownError(reason="no answer in time")
         reply = replies[0]
         if reply.request_id != request.id:
-            raise errors.RequestUnknownError(reason="another's answer")
+            raise errors.RequestUnknownError(
+                reason="answer to another request"
+            )
         return requests.Answer(
             request_id=request.id, status=reply.status, body=reply.body
         )
 
     async def aclose(self) -> None:
-        """Do nothing; the target goes on."""
+        """Do nothing; the target keeps running."""
--- a/wisteriawood/standins/stores.py
+++ b/wisteriawood/standins/stores.py
@@ -1,31 +1,35 @@
-"""A partitioned store in memory, with the faults of a real one."""
+"""Stand-in for the partitioned store, with fault injection."""
 
 import anyio
 
 from wisteriawood import errors
 from wisteriawood.links import stores
 
-CALL_S = 0.004
-COMMIT_S = 0.012
-TIMEOUT_S = 0.35
+CALL_DELAY_S = 0.004
+COMMIT_DELAY_S = 0.012
+CALL_TIMEOUT_S = 0.35
 
 
 class MemoryStore:
-    """Rows, their versions and the history of changes.
+    """Rows with their versions, and the history of changes.
 
     Attributes:
+        commits: Number of commits that took effect.
+        cut_hosts: Hosts whose calls get no answer.
         is_down: Whether calls are refused.
-        cut_hosts: Hosts that get no answer.
-        lost_answers: Commits to come whose answer is lost.
-        lost_table: Only commits on this table lose it; empty for all.
-        late_s: Time after which a commit without answer takes effect.
-        commits: Commits that took effect.
+        late_s: Delay in seconds until a commit whose answer is lost takes
+            effect.
+        lost_answers: Number of subsequent commits that take effect but
+            whose answers are lost.
+        lost_table: Table to which lost_answers is limited; empty for all.
+        rows: Current rows, without deleted ones.
+        version: Version of the latest commit.
     """
 
     __slots__ = (
         "_changed",
+        "_compacted_version",
         "_history",
-        "_history_from",
         "commits",
         "cut_hosts",
         "is_down",
@@ -46,11 +50,11 @@
         self.late_s = 0.0
         self.commits = 0
         self._history: list[stores.StoredRow] = []
-        self._history_from = 0
+        self._compacted_version = 0
         self._changed = anyio.Event()
 
     def link(self, host: str) -> "MemoryStoreLink":
-        """Return the store as a host sees it.
+        """Return a link of a host to the store.
 
         Args:
             host: Name of the host.
@@ -61,11 +65,14 @@
         """Apply a change and return the version of its rows.
 
         Raises:
-            ChangeConflictError: A condition did not hold.
+            ChangeConflictError: A row does not have the expected version.
+            ValueError: The change spans several partitions.
         """
         parts = {at.part for at in (*change.expected, *change.writes)}
         if len(parts) > 1:
-            raise ValueError(f"a transaction over several parts: {parts}")
+            raise ValueError(
+                f"the transaction spans several partitions: {parts}"
+            )
         found = [
             self.rows.get(at, stores.StoredRow(at=at, value=None, version=0))
             for at in change.expected
@@ -84,30 +91,26 @@
         self._changed = anyio.Event()
         return self.version
 
-    def loses(self, change: stores.Change) -> bool:
-        """Tell whether the answer to a change gets lost.
-
-        Args:
-            change: The change.
-        """
+    def is_answer_lost(self, change: stores.Change) -> bool:
+        """Return whether the answer to a change will be lost."""
         if self.lost_answers <= 0:
             return False
         touched = {at.table for at in change.writes}
         return not self.lost_table or self.lost_table in touched
 
     def forget_history(self) -> None:
-        """Drop the history, as after a compaction."""
+        """Delete the history of changes, as a compaction does."""
         self._history.clear()
-        self._history_from = self.version
+        self._compacted_version = self.version
 
     def changes(self, table: str, after: int) -> list[stores.StoredRow]:
         """Return the changes of a table after a version.
 
         Raises:
-            HistoryLostError: The history does not reach back so far.
+            HistoryLostError: Changes after the version were deleted.
         """
-        if after < self._history_from:
-            raise stores.HistoryLostError("the history is gone")
+        if after < self._compacted_version:
+            raise stores.HistoryLostError("the history has been compacted")
         return [
             row
             for row in self._history
@@ -120,7 +123,7 @@
 
 
 class MemoryStoreLink:
-    """The store as one host sees it.
+    """Link from a host to the store.
 
     Args:
         store: The store.
@@ -133,9 +136,9 @@
         self._store = store
         self._host = host
 
-    async def _arrive(self, call_s: float) -> None:
+    async def _apply_call_faults(self, call_s: float) -> None:
         if self._host in self._store.cut_hosts:
-            await anyio.sleep(TIMEOUT_S)
+            await anyio.sleep(CALL_TIMEOUT_S)
             raise errors.PlatformUnavailableError("no answer")
         await anyio.sleep(call_s)
         if self._store.is_down:
@@ -144,22 +147,22 @@
     async def commit(self, change: stores.Change) -> int:
         """Commit a change and return the version of its rows."""
         store = self._store
-        await self._arrive(COMMIT_S)
-        if store.loses(change):
+        await self._apply_call_faults(COMMIT_DELAY_S)
+        if store.is_answer_lost(change):
             store.lost_answers -= 1
             await anyio.sleep(store.late_s)
             try:
                 store.apply(change)
             finally:
-                await anyio.sleep(TIMEOUT_S)
+                await anyio.sleep(CALL_TIMEOUT_S)
             raise errors.TransactionUnknownError("the answer was lost")
         return store.apply(change)
 
     async def read(
         self, table: str, part: str, *, key: str = ""
     ) -> stores.Page:
-        """Return the rows of a partition, or one of them."""
-        await self._arrive(CALL_S)
+        """Return the rows of a partition, or only the row with a key."""
+        await self._apply_call_faults(CALL_DELAY_S)
         rows = [
             row
             for at, row in self._store.rows.items()
@@ -172,14 +175,17 @@
 
     async def parts(self, table: str) -> list[str]:
         """Return the partitions of a table."""
-        await self._arrive(CALL_S)
+        await self._apply_call_faults(CALL_DELAY_S)
         return sorted(
             {at.part for at in self._store.rows if at.table == table}
         )
 
     async def feed(self, table: str, after: int, wait_s: float) -> stores.Page:
-        """Return the rows that changed after a version."""
-        await self._arrive(CALL_S)
+        """Return the rows that changed after a version.
+
+        Waits up to wait_s seconds for the first change.
+        """
+        await self._apply_call_faults(CALL_DELAY_S)
         found = self._store.changes(table, after)
         with anyio.move_on_after(wait_s):
             while not found:
--- a/wisteriawood/standins/targets.py
+++ b/wisteriawood/standins/targets.py
@@ -1,4 +1,4 @@
-"""A small stand-in of a target, with failure switches."""
+"""Stand-in for a target with fault injection."""
 
 import dataclasses
 
@@ -14,11 +14,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class TargetFaults:
-    """Failure switches of the stand-in.
+    """Faults to inject.
 
     Attributes:
-        slow_s: Delay of each answer in seconds.
-        frozen: Whether requests are taken and never answered.
+        slow_s: Additional delay of each answer in seconds.
+        frozen: Whether requests are accepted but never answered.
         wrong_id: Whether answers carry the id of another request.
         fails: Whether each request is answered with status 500.
     """
@@ -31,15 +31,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class TargetCounts:
-    """What the target saw.
+    """Numbers of requests at the target.
 
     Attributes:
-        started: Requests that reached it.
-        finished: Requests that it answered.
-        most_at_once: Most requests at the same time.
-        breaches: Requests that found all slots taken.
-        keys: Runs of each idempotency key.
-        requests: Runs of each request id.
+        started: Requests received.
+        finished: Requests answered.
+        most_at_once: Largest number of requests in flight.
+        breaches: Requests received while all slots were in use.
+        keys: Number of runs by idempotency key.
+        requests: Number of runs by request id.
     """
 
     started: int = 0
@@ -52,12 +52,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Reply:
-    """What the target answers.
+    """Answer of the target.
 
     Attributes:
         request_id: Id of the request that it answers.
         status: HTTP status.
-        body: Whole body.
+        body: Complete body.
     """
 
     request_id: str
@@ -66,15 +66,22 @@
 
 
 class StandinTarget:
-    """Serves echoes with a given service time; guards nothing.
+    """Echoes requests after a service time; does not enforce its slots.
 
     Args:
         name: Name of the target.
-        slots: Requests that it should get at once.
-        service_s: Time that each request takes.
+        slots: Largest number of requests it should have in flight.
+        service_s: Service time of each request in seconds.
     """
 
-    __slots__ = ("_at_once", "counts", "faults", "name", "service_s", "slots")
+    __slots__ = (
+        "_in_flight",
+        "counts",
+        "faults",
+        "name",
+        "service_s",
+        "slots",
+    )
 
     def __init__(self, *, name: str, slots: int, service_s: float = 0.01):
         self.name = name
@@ -82,7 +89,7 @@
         self.service_s = service_s
         self.faults = TargetFaults()
         self.counts = TargetCounts()
-        self._at_once = 0
+        self._in_flight = 0
 
     async def serve(self, *, request_id: str, key: str, body: bytes) -> Reply:
         """Serve one request.
@@ -94,10 +101,10 @@
         """
         counts = self.counts
         counts.started += 1
-        if self._at_once >= self.slots:
+        if self._in_flight >= self.slots:
             counts.breaches += 1
-        self._at_once += 1
-        counts.most_at_once = max(counts.most_at_once, self._at_once)
+        self._in_flight += 1
+        counts.most_at_once = max(counts.most_at_once, self._in_flight)
         if key:
             counts.keys[key] = counts.keys.get(key, 0) + 1
         counts.requests[request_id] = counts.requests.get(request_id, 0) + 1
@@ -106,7 +113,7 @@
                 await anyio.sleep_forever()
             await anyio.sleep(self.service_s + self.faults.slow_s)
         finally:
-            self._at_once -= 1
+            self._in_flight -= 1
         counts.finished += 1
         return Reply(
             request_id="another" if self.faults.wrong_id else request_id,
@@ -142,7 +149,7 @@
         )
 
     def make_app(self) -> applications.Starlette:
-        """Return the application."""
+        """Return the ASGI application."""
         return applications.Starlette(
             routes=[
                 routing.Route(
--- a/wisteriawood/standins/workers.py
+++ b/wisteriawood/standins/workers.py
@@ -1,4 +1,4 @@
-"""A small stand-in of a worker, with failure switches."""
+"""Stand-in for a worker with fault injection."""
 
 import dataclasses
 import typing
@@ -17,18 +17,18 @@
 from wisteriawood.links import workers
 from wisteriawood.standins import targets
 
-ENDED_KEPT = 1000
+MAX_ENDED_ATTEMPTS = 1000
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class WorkerFaults:
-    """Failure switches of the stand-in.
+    """Faults to inject.
 
     Attributes:
-        frozen: Whether calls are not answered.
+        frozen: Whether calls time out without an effect.
         fails_everything: Whether each attempt fails as soon as it starts.
         slow_s: Delay before each call in seconds.
-        usage_lag_s: Seconds by which usage reports lag.
+        usage_lag_s: Age of usage reports in seconds.
     """
 
     frozen: bool = False
@@ -39,18 +39,19 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class RunRecord:
-    """One attempt, as the worker itself records it.
+    """The worker's record of an attempt, for the checks of invariants.
 
     Attributes:
         task: Id of the task.
         attempt: Number of the attempt.
-        started_s: Monotonic time of its start.
-        stopped_s: Monotonic time of its end; 0 while it runs.
-        resumed_from: Checkpoint that it resumed from.
-        end: How it ended.
-        traceparent: Trace context of the order to start.
-        needs: Resources that it was given.
-        is_told: Whether a command stopped it, not its lease.
+        started_s: Monotonic time of the start in seconds.
+        stopped_s: Monotonic time of the end in seconds; 0 while it runs.
+        resumed_from: Key of the checkpoint it resumed from; empty for none.
+        end: State in which it ended; empty while it runs.
+        traceparent: Trace context of the start command.
+        needs: Resources allocated to it.
+        is_told: Whether it was stopped by a command and not by the end of
+            its lease.
     """
 
     task: str
@@ -69,17 +70,17 @@
     """An attempt on the worker.
 
     Attributes:
-        spec: The task.
+        spec: Specification of the task.
         number: Number of the attempt.
-        state: Its state.
-        lease_ends_s: Monotonic time at which it is stopped.
-        done_s: Seconds of work done so far.
-        run_s: Seconds of work in all; 0 if it has no end.
-        share: Share of its resources that it may use.
+        state: State of the attempt.
+        lease_ends_s: Monotonic time in seconds at which the lease ends.
+        done_s: Work done so far, in seconds at full speed.
+        run_s: Total work in seconds at full speed; 0 for unlimited.
+        share: Share of its resources that it may use, 0 to 1.
         address: Address of the target that it serves.
-        record: Its record.
-        stop: Stops what serves the target.
-        reason: Why it failed.
+        record: Record of the attempt.
+        stop: Event that stops the server of the target.
+        reason: Reason for its failure.
     """
 
     spec: tasks.TaskSpec
@@ -99,13 +100,20 @@
 
 
 class StandinWorker:
-    """Runs tasks in time only; it guards nothing.
+    """Simulates the run times of tasks; does not enforce its capacity.
 
     Args:
         name: Name of the worker.
-        capacity: What it offers.
-        objects: Store of checkpoints, with put_object and get_object.
+        capacity: Resources that it reports.
+        objects: Object store for checkpoints, with put_object and
+            get_object.
         serve_target: Serves the target of a service attempt, if any.
+
+    Attributes:
+        attempts: Known attempts, by task id and attempt number.
+        boots: Number of starts of the worker process.
+        faults: Faults to inject.
+        records: Records of all attempts that were started.
     """
 
     __slots__ = (
@@ -138,7 +146,7 @@
         self._objects = objects
         self._serve_target = serve_target
 
-    async def _enter(self) -> None:
+    async def _apply_faults(self) -> None:
         if self.faults.slow_s:
             await anyio.sleep(self.faults.slow_s)
         if self.faults.frozen:
@@ -146,14 +154,19 @@
             raise errors.LinkClosedError("frozen")
 
     async def run(self) -> None:
-        """Run attempts until cancelled."""
+        """Run the task group of the attempts until cancelled."""
         async with anyio.create_task_group() as group:
             self.group = group
             await anyio.sleep_forever()
 
     async def start(self, command: workers.StartCommand) -> bool:
-        """Start an attempt; False if its latest time has passed."""
-        await self._enter()
+        """Start an attempt.
+
+        Returns:
+            Whether the attempt is known; False if the latest time to start
+            it has passed.
+        """
+        await self._apply_faults()
         now_s = anyio.current_time()
         key = (command.spec.id, command.attempt)
         if now_s > command.not_after_s or key in self.attempts:
@@ -189,12 +202,12 @@
             for key, attempt in self.attempts.items()
             if attempt.state != workers.AttemptState.RUNNING
         ]
-        for key in ended[:-ENDED_KEPT]:
+        for key in ended[:-MAX_ENDED_ATTEMPTS]:
             del self.attempts[key]
 
     async def _run_attempt(self, attempt: Attempt) -> None:
         if self.faults.fails_everything or attempt.spec.arguments.get("fails"):
-            attempt.reason = "failed as told"
+            attempt.reason = "injected failure"
             self._end(attempt, workers.AttemptState.FAILED)
             return
         is_service = attempt.spec.kind == tasks.TaskKind.SERVICE
@@ -225,7 +238,7 @@
 
     async def renew(self, command: workers.RenewCommand) -> None:
         """Renew the leases of attempts."""
-        await self._enter()
+        await self._apply_faults()
         now_s = anyio.current_time()
         if now_s > command.not_after_s:
             return
@@ -235,8 +248,11 @@
                 attempt.lease_ends_s = now_s + command.lease_s
 
     async def checkpoint(self, task: str, attempt: int) -> str:
-        """Write a checkpoint and return its object key."""
-        await self._enter()
+        """Write a checkpoint and return its object key.
+
+        Returns an empty string for an unknown attempt.
+        """
+        await self._apply_faults()
         found = self.attempts.get((task, attempt))
         if found is None:
             return ""
@@ -246,21 +262,21 @@
 
     async def throttle(self, task: str, attempt: int, share: float) -> None:
         """Limit an attempt to a share of its resources, 0 to 1."""
-        await self._enter()
+        await self._apply_faults()
         found = self.attempts.get((task, attempt))
         if found is not None:
             found.share = share
 
     async def stop(self, task: str, attempt: int) -> None:
-        """Stop an attempt and return once it is stopped."""
-        await self._enter()
+        """Stop an attempt."""
+        await self._apply_faults()
         found = self.attempts.get((task, attempt))
         if found and found.state == workers.AttemptState.RUNNING:
             found.record.is_told = True
             self._end(found, workers.AttemptState.STOPPED)
 
     def lose_all(self) -> None:
-        """End all attempts and forget them, as a new start does."""
+        """End and forget all attempts, as a restart of the process does."""
         for attempt in self.attempts.values():
             if attempt.state == workers.AttemptState.RUNNING:
                 self._end(attempt, workers.AttemptState.STOPPED)
@@ -268,8 +284,8 @@
         self.boots += 1
 
     async def inventory(self) -> workers.Inventory:
-        """Return all attempts that the worker knows of."""
-        await self._enter()
+        """Return all known attempts, running and ended."""
+        await self._apply_faults()
         return workers.Inventory(
             worker=self.name,
             clock_s=anyio.current_time(),
@@ -295,8 +311,8 @@
         )
 
     async def usage(self) -> list[workers.UsageReport]:
-        """Return usage reports as they were before the lag."""
-        await self._enter()
+        """Return usage reports that are usage_lag_s old."""
+        await self._apply_faults()
         measured_s = anyio.current_time() - self.faults.usage_lag_s
         return [
             workers.UsageReport(
@@ -312,15 +328,15 @@
         ]
 
     async def aclose(self) -> None:
-        """Do nothing; the worker goes on."""
+        """Do nothing; the worker keeps running."""
 
 
 class WorkerApp:
-    """The stand-in over HTTP.
+    """HTTP interface of the worker stand-in.
 
     Args:
-        worker: The worker.
-        served: The targets that it serves and has served.
+        worker: The worker stand-in.
+        served: All targets that the worker serves or has served.
     """
 
     __slots__ = ("served", "worker")
@@ -387,25 +403,25 @@
         )
 
     async def records(self, _request: requests.Request) -> responses.Response:
-        """Answer GET /standin/records: what ran when."""
+        """Answer GET /standin/records: the records of all attempts."""
         return responses.Response(
             rows.to_json(self.worker.records), media_type="application/json"
         )
 
     async def counts(self, _request: requests.Request) -> responses.Response:
-        """Answer GET /standin/counts: what its targets saw."""
+        """Answer GET /standin/counts: the counts of its targets."""
         return responses.Response(
             rows.to_json([target.counts for target in self.served]),
             media_type="application/json",
         )
 
     async def faults(self, request: requests.Request) -> responses.Response:
-        """Answer PUT /standin/faults: set the failure switches."""
+        """Answer PUT /standin/faults: set the faults to inject."""
         self.worker.faults = rows.from_json(await request.body(), WorkerFaults)
         return responses.PlainTextResponse("set\n")
 
     def make_app(self) -> applications.Starlette:
-        """Return the application."""
+        """Return the ASGI application."""
 
         async def _refuse(_request, exc):
             return responses.PlainTextResponse(str(exc) + "\n", 503)
--- a/wisteriawood/standins/worlds.py
+++ b/wisteriawood/standins/worlds.py
@@ -1,4 +1,4 @@
-"""A world in memory: platform, workers, targets and processes of ours."""
+"""A simulated cluster: platform, workers, targets and daemons."""
 
 import contextlib
 import functools
@@ -31,11 +31,21 @@
 
 
 class World:
-    """A platform, workers, targets and processes of ours in memory.
+    """A platform, workers, targets and daemons simulated in one process.
 
     Args:
-        group: Runs all of them.
-        seed: Seed of all random choices.
+        group: Task group that runs all of them.
+        seed: Seed of the random choices of the daemons.
+
+    Attributes:
+        calls: All calls over simulated links, as (caller, callee, method).
+        cuts: Pairs of sender and receiver whose messages are lost.
+        delays_s: Delays of messages in seconds, by sender and receiver.
+        entries: Entry hosts, by member name.
+        processes: Processes, by name or by worker address.
+        schedulers: Schedulers, by member name.
+        targets: Target stand-ins, by address.
+        workers: Worker stand-ins, by address.
     """
 
     __slots__ = (
@@ -68,15 +78,15 @@
         self.targets: dict[str, targets.StandinTarget] = {}
 
     def start_soon(self, function, *args) -> None:
-        """Run something that outlives the processes."""
+        """Run a function that survives the kill of a process."""
         self._group.start_soon(function, *args)
 
     def is_cut(self, sender: str, receiver: str) -> bool:
-        """Tell whether messages from one to the other are lost."""
+        """Return whether messages from sender to receiver are lost."""
         return (sender, receiver) in self.cuts
 
     def is_dead(self, name: str) -> bool:
-        """Tell whether a name is that of a killed process."""
+        """Return whether the process of that name was killed."""
         process = self.processes.get(name)
         return process is not None and not process.is_alive
 
@@ -85,15 +95,15 @@
         return self.delays_s.get((sender, receiver), 0.0)
 
     def cut(self, one: str, other: str) -> None:
-        """Lose all messages between two, both ways."""
+        """Cut the link between two processes in both directions."""
         self.cuts |= {(one, other), (other, one)}
 
     def mend(self, one: str, other: str) -> None:
-        """Undo a cut."""
+        """Restore a link after a cut."""
         self.cuts -= {(one, other), (other, one)}
 
     def add_worker(self, host: platform_links.Host) -> workers.StandinWorker:
-        """Add a worker and list it at the platform."""
+        """Start a worker and add it to the host list of the platform."""
         worker = workers.StandinWorker(
             name=host.name,
             capacity=host.capacity,
@@ -107,7 +117,7 @@
         return worker
 
     def kill_worker(self, address: str) -> None:
-        """End a worker and all that it runs."""
+        """Kill a worker and all its attempts."""
         self.processes[address].kill()
         self.workers[address].lose_all()
 
@@ -121,7 +131,7 @@
     def add_target(
         self, host: platform_links.Host, *, service_s: float = 0.01
     ) -> targets.StandinTarget:
-        """Add a target and list it at the platform."""
+        """Add a target, and add it to the host list of the platform."""
         target = targets.StandinTarget(
             name=host.name, slots=host.slots, service_s=service_s
         )
@@ -158,7 +168,7 @@
             world=self,
             process=process,
             peer=address,
-            inner=processes.MemoryTarget(
+            inner=processes.MemoryTargetLink(
                 group=self._group, target=self.targets[address]
             ),
             unsent=_not_run,
@@ -172,7 +182,7 @@
         await process.thawed.wait()
         server, handler = self._handlers[address]
         if not server.is_alive:
-            raise errors.LinkRefusedError("the peer refuses")
+            raise errors.LinkRefusedError("connection refused")
         if self.is_cut(process.name, server.name):
             await anyio.sleep(processes.CALL_TIMEOUT_S)
             raise errors.LinkClosedError("no answer")
@@ -199,14 +209,16 @@
         )
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._end_with, server, group.cancel_scope)
+                group.start_soon(
+                    self._cancel_when_killed, server, group.cancel_scope
+                )
                 with contextlib.suppress(errors.LinkError):
                     await handler(channel)
                 group.cancel_scope.cancel()
         finally:
             await inner.aclose()
 
-    async def _end_with(
+    async def _cancel_when_killed(
         self, process: processes.Process, scope: anyio.CancelScope
     ) -> None:
         while process.is_alive:
@@ -222,7 +234,7 @@
     def add_scheduler(
         self, member: holdings.MemberRow
     ) -> schedulers.Scheduler:
-        """Start a scheduler."""
+        """Start a scheduler daemon."""
         process = processes.Process(name=f"scheduler/{member.name}")
         self.processes[process.name] = process
         scheduler = schedulers.Scheduler(
@@ -245,7 +257,12 @@
         *,
         peer_addresses: typing.Sequence[str] = (),
     ) -> entry_hosts.EntryHost:
-        """Start an entry host, with further peers to dial if given."""
+        """Start an entry daemon.
+
+        Args:
+            member: Member row of the daemon.
+            peer_addresses: Addresses of additional peers to connect to.
+        """
         process = processes.Process(name=f"entry/{member.name}")
         self.processes[process.name] = process
         entry = entry_hosts.EntryHost(
--- a/wisteriawood/tests/faults/process_tests.py
+++ b/wisteriawood/tests/faults/process_tests.py
@@ -1,4 +1,4 @@
-"""Failures of real processes: SIGKILL, SIGSTOP and SIGTERM."""
+"""Tests with real processes that get SIGKILL, SIGSTOP and SIGTERM."""
 
 import functools
 import pathlib
@@ -20,22 +20,22 @@
 from wisteriawood.tests import builders
 
 ZONE = "linz-a"
-WAIT_S = 150.0
-PERIOD_S = 0.2
+WAIT_TIMEOUT_S = 150.0
+POLL_PERIOD_S = 0.2
 
 
 async def wait_for(check):
-    """Wait until an async check gives something true, and return it."""
-    with anyio.fail_after(WAIT_S):
+    """Wait until an async check returns a true value, and return it."""
+    with anyio.fail_after(WAIT_TIMEOUT_S):
         while True:
             found = await check()
             if found:
                 return found
-            await anyio.sleep(PERIOD_S)
+            await anyio.sleep(POLL_PERIOD_S)
 
 
-class Bench:
-    """A cluster of one zone with a service, and its callers."""
+class Harness:
+    """A cluster with one zone and one service, and its callers."""
 
     def __init__(self, cluster):
         self.cluster = cluster
@@ -74,7 +74,7 @@
         row = await self.platform.read(f"rack/{ZONE}/{rack}")
         return row.value["holder"] if row else ""
 
-    async def gather(self):
+    async def read_records(self):
         counts, records = [], []
         for address in self.cluster.worker_addresses.values():
             base = f"http://{address}/standin"
@@ -91,39 +91,39 @@
 
 class ProcessTests(unittest.TestCase):
 
-    def run_bench(self, function):
+    def run_with_cluster(self, function):
         async def _main():
             with tempfile.TemporaryDirectory() as folder:
                 cluster = clusters.LocalCluster(
                     folder=pathlib.Path(folder), zones=[ZONE]
                 )
-                bench = Bench(cluster)
+                harness = Harness(cluster)
                 try:
-                    await bench.start()
-                    await function(bench)
-                    await bench.platform.aclose()
+                    await harness.start()
+                    await function(harness)
+                    await harness.platform.aclose()
                 finally:
                     await cluster.stop()
 
         anyio.run(_main)
 
-    async def check_all(self, bench):
-        counts, records = await bench.gather()
-        seen = bench.load.seen
-        for verdict in (
+    async def check_all(self, harness):
+        counts, records = await harness.read_records()
+        sent = harness.load.sent
+        for result in (
             checks.check_slots(counts),
-            checks.check_answers(seen),
-            checks.check_not_run(seen, counts),
-            checks.check_run_once(seen, counts),
+            checks.check_answers(sent),
+            checks.check_not_run(sent, counts),
+            checks.check_run_once(sent, counts),
             checks.check_single_run(records),
         ):
-            with self.subTest(invariant=verdict.name):
-                self.assertEqual([], verdict.breaches)
-                self.assertGreater(verdict.checked, 0)
+            with self.subTest(invariant=result.name):
+                self.assertEqual([], result.breaches)
+                self.assertGreater(result.checked, 0)
 
-    def test_killed_entry_host_costs_no_invariant_and_no_slots(self):
-        async def _check(bench):
-            cluster, load = bench.cluster, bench.load
+    def test_slots_of_killed_entry_host_are_granted_again(self):
+        async def _check(harness):
+            cluster, load = harness.cluster, harness.load
             dead, alive = list(cluster.pairs)
             async with anyio.create_task_group() as group:
                 group.start_soon(
@@ -132,7 +132,7 @@
                 await anyio.sleep(1.0)
                 cluster.kill(f"entry/{dead}")
                 cluster.kill(f"scheduler/{dead}")
-                load.drop(cluster.pairs[dead].caller_address)
+                load.remove_address(cluster.pairs[dead].caller_address)
 
             async def _has_all_slots():
                 operator = cluster.pairs[alive].entry_operator_address
@@ -142,17 +142,17 @@
 
             await wait_for(_has_all_slots)
             await load.run(callers_at_once=8, seconds=1.0)
-            await self.check_all(bench)
+            await self.check_all(harness)
 
-        self.run_bench(_check)
+        self.run_with_cluster(_check)
 
-    def test_frozen_scheduler_wakes_to_a_lost_rack(self):
-        async def _check(bench):
-            cluster = bench.cluster
-            await bench.load.run(callers_at_once=4, seconds=0.5)
+    def test_frozen_scheduler_loses_its_rack(self):
+        async def _check(harness):
+            cluster = harness.cluster
+            await harness.load.run(callers_at_once=4, seconds=0.5)
             rack = f"{ZONE}-rack-1"
-            frozen = await bench.holder(rack)
-            await bench.submit(
+            frozen = await harness.holder(rack)
+            await harness.submit(
                 *[
                     builders.make_spec(id=f"batch-{number}", run_s=3.0)
                     for number in range(6)
@@ -161,32 +161,32 @@
             cluster.freeze(f"scheduler/{frozen}")
 
             async def _is_taken_over():
-                return await bench.holder(rack) not in ("", frozen)
+                return await harness.holder(rack) not in ("", frozen)
 
             await wait_for(_is_taken_over)
             cluster.wake(f"scheduler/{frozen}")
 
             async def _are_finished():
-                found = [await bench.find(f"batch-{n}") for n in range(6)]
+                found = [await harness.find(f"batch-{n}") for n in range(6)]
                 return all(
                     task.state == tasks.TaskState.FINISHED for task in found
                 )
 
             await wait_for(_are_finished)
-            self.assertNotEqual(frozen, await bench.holder(rack))
-            await self.check_all(bench)
+            self.assertNotEqual(frozen, await harness.holder(rack))
+            await self.check_all(harness)
 
-        self.run_bench(_check)
+        self.run_with_cluster(_check)
 
     def test_graceful_shutdown_cuts_no_request(self):
-        async def _check(bench):
-            cluster, load = bench.cluster, bench.load
+        async def _check(harness):
+            cluster, load = harness.cluster, harness.load
             leaving, _staying = list(cluster.pairs)
             unclean = []
 
             async def _stop():
-                # The balancer sees that it isn't ready, and drops it.
-                load.drop(cluster.pairs[leaving].caller_address)
+                # As a load balancer does when readiness fails.
+                load.remove_address(cluster.pairs[leaving].caller_address)
                 if not await cluster.daemons[f"entry/{leaving}"].stop():
                     unclean.append(leaving)
 
@@ -197,8 +197,8 @@
                 await anyio.sleep(1.0)
                 group.start_soon(_stop)
             self.assertEqual([], unclean)
-            lost = [s for s in load.seen if s.outcome == loads.LOST]
+            lost = [s for s in load.sent if s.outcome == loads.NO_ANSWER]
             self.assertEqual([], lost)
-            await self.check_all(bench)
+            await self.check_all(harness)
 
-        self.run_bench(_check)
+        self.run_with_cluster(_check)
