--- a/wisteriawood/standins/demos.py
+++ b/wisteriawood/standins/demos.py
@@ -160,7 +160,7 @@
         self._progress("the platform is back")
 
     async def _finish(self) -> list[checks.CheckResult]:
-        self._progress(f"sent {len(self._load.sent)} requests")
+        self._progress(f"sent {len(self._load.seen)} requests")
         batch = await self._wait_for_jobs()
         self._progress("stopping the entry hosts while requests are sent")
         results = await self._check(batch)
@@ -194,7 +194,7 @@
             stopped = await cluster.stop_entry_hosts()
             unclean.extend(n for n in stopped if n.split("/")[1] in alive)
 
-        before = len(self._load.sent)
+        before = len(self._load.seen)
         async with anyio.create_task_group() as group:
             group.start_soon(
                 functools.partial(
@@ -203,10 +203,10 @@
             )
             group.start_soon(_stop)
         cut = [
-            s for s in self._load.sent[before:] if s.outcome == loads.NO_ANSWER
+            s for s in self._load.seen[before:] if s.outcome == loads.NO_ANSWER
         ]
         self._progress(
-            f"{len(self._load.sent) - before} more requests, {len(cut)} cut"
+            f"{len(self._load.seen) - before} more requests, {len(cut)} cut"
         )
         counts: list[targets.TargetCounts] = []
         records: dict[str, list[workers.RunRecord]] = {}
@@ -222,7 +222,7 @@
             )
         attempts = sum(len(found) for found in records.values())
         self._reruns = attempts - len(self._specs)
-        sent = self._load.sent
+        sent = self._load.seen
         capacity = resources.Resources(
             cores=clusters.WORKER_CORES,
             memory_bytes=clusters.WORKER_MEMORY_BYTES,
--- a/wisteriawood/standins/loads.py
+++ b/wisteriawood/standins/loads.py
@@ -53,7 +53,7 @@
         pause_s: Mean pause of a caller between requests, in seconds.
 
     Attributes:
-        sent: Records of all requests.
+        seen: Records of all requests.
     """
 
     __slots__ = (
@@ -64,7 +64,7 @@
         "_pause_s",
         "_rng",
         "_run_once_share",
-        "sent",
+        "seen",
     )
 
     def __init__(
@@ -87,7 +87,7 @@
             trust_env=False,
             limits=httpx.Limits(max_connections=200),
         )
-        self.sent: list[RequestRecord] = []
+        self.seen: list[RequestRecord] = []
 
     def remove_address(self, address: str) -> None:
         """Stop sending requests to an entry host that is not ready.
@@ -129,7 +129,7 @@
             body: Body of the request; empty for a new unique one.
         """
         record = RequestRecord(body=body or uuid.uuid4().hex, key=key)
-        self.sent.append(record)
+        self.seen.append(record)
         headers = {callers.KEY_HEADER: key} if key else {}
         number = next(self._next) % len(self._addresses)
         started_s = anyio.current_time()
@@ -153,7 +153,7 @@
     def outcomes(self) -> dict[str, int]:
         """Return the number of requests by outcome."""
         counts: dict[str, int] = {}
-        for record in self.sent:
+        for record in self.seen:
             counts[record.outcome] = counts.get(record.outcome, 0) + 1
         return counts
 
@@ -164,7 +164,7 @@
             *quantiles: Quantiles, 0 to 1.
         """
         sketch = ddsketch.DDSketch(RELATIVE_ACCURACY)
-        for record in self.sent:
+        for record in self.seen:
             if record.is_own:
                 sketch.add(1000 * record.latency_s)
         return [
--- a/wisteriawood/standins/worlds.py
+++ b/wisteriawood/standins/worlds.py
@@ -209,16 +209,14 @@
         )
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(
-                    self._cancel_when_killed, server, group.cancel_scope
-                )
+                group.start_soon(self._end_with, server, group.cancel_scope)
                 with contextlib.suppress(errors.LinkError):
                     await handler(channel)
                 group.cancel_scope.cancel()
         finally:
             await inner.aclose()
 
-    async def _cancel_when_killed(
+    async def _end_with(
         self, process: processes.Process, scope: anyio.CancelScope
     ) -> None:
         while process.is_alive:
--- a/wisteriawood/tests/faults/process_tests.py
+++ b/wisteriawood/tests/faults/process_tests.py
@@ -109,7 +109,7 @@
 
     async def check_all(self, harness):
         counts, records = await harness.read_records()
-        sent = harness.load.sent
+        sent = harness.load.seen
         for result in (
             checks.check_slots(counts),
             checks.check_answers(sent),
@@ -197,7 +197,7 @@
                 await anyio.sleep(1.0)
                 group.start_soon(_stop)
             self.assertEqual([], unclean)
-            lost = [s for s in load.sent if s.outcome == loads.NO_ANSWER]
+            lost = [s for s in load.seen if s.outcome == loads.NO_ANSWER]
             self.assertEqual([], lost)
             await self.check_all(harness)
 
