--- a/wisteriawood/standins/processes.py
+++ b/wisteriawood/standins/processes.py
@@ -124,18 +124,18 @@
 
     async def _call_with_delay(self, call, *args, **kwargs) -> typing.Any:
         """Make a call that arrives even if its caller has been killed."""
-        delivery = DelayedCall(
+        delayed = DelayedCall(
             delay_s=self._delay_s(),
             is_dead=functools.partial(self._world.is_dead, self._peer),
         )
-        self._world.start_soon(delivery.run, call, args, kwargs)
+        self._world.start_soon(delayed.run, call, args, kwargs)
         with anyio.move_on_after(CALL_TIMEOUT_S):
-            await delivery.done.wait()
-        if not delivery.done.is_set():
+            await delayed.done.wait()
+        if not delayed.done.is_set():
             raise self._unknown("no answer")
-        if delivery.error is not None:
-            raise delivery.error
-        return delivery.result
+        if delayed.error is not None:
+            raise delayed.error
+        return delayed.result
 
     def _delay_s(self) -> float:
         return self._world.delay_s(self._process.name, self._peer)
