--- a/wisteriawood/bench/__main__.py
+++ b/wisteriawood/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs benchmarks: all of them, or those that the arguments name."""
+"""Runs all benchmarks, or those named on the command line."""
 
 import pathlib
 import sys
@@ -25,21 +25,21 @@
     """Run benchmarks and return the exit status.
 
     Args:
-        names: Names of the benchmarks; none for all.
+        names: Names of the benchmarks to run; empty for all.
     """
     registry.load_modules(bench)
     known = _known_red()
     failures = 0
-    for name in names or base.BENCHES.names():
+    for name in names or base.BENCHMARKS.names():
         print(f"== {name}")
-        for measure in base.BENCHES.get(name)():
-            verdict = "" if not measure.bound() else "ok"
-            if not measure.is_met():
+        for measure in base.BENCHMARKS.get(name)():
+            verdict = "" if not measure.format_bounds() else "ok"
+            if not measure.is_within_bounds():
                 verdict = "known red" if measure.name in known else "RED"
                 failures += verdict == "RED"
             print(
                 f"{measure.name:<52} {measure.value:>10.4g} "
-                f"{measure.unit:<8} {measure.bound():<10} {verdict}"
+                f"{measure.unit:<8} {measure.format_bounds():<10} {verdict}"
             )
     print(f"{failures} bounds broken")
     return 1 if failures else 0
--- a/wisteriawood/bench/base.py
+++ b/wisteriawood/bench/base.py
@@ -1,4 +1,4 @@
-"""What a benchmark measures, and the registry of them."""
+"""Measurements that benchmarks return, and the registry of benchmarks."""
 
 import dataclasses
 import typing
@@ -7,15 +7,15 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Measure:
-    """One figure of a benchmark.
+class Measurement:
+    """One value that a benchmark measured, with its bounds.
 
     Attributes:
-        name: What was measured, as area/case/figure.
-        value: The figure.
-        unit: Its unit.
-        at_most: Greatest value within the bound; None for no bound.
-        at_least: Least value within the bound; None for no bound.
+        name: Name in the form area/case/figure.
+        value: Measured value.
+        unit: Unit of the value.
+        at_most: Upper bound, inclusive; None for no upper bound.
+        at_least: Lower bound, inclusive; None for no lower bound.
     """
 
     name: str
@@ -24,13 +24,13 @@
     at_most: float | None = None
     at_least: float | None = None
 
-    def is_met(self) -> bool:
-        """Tell whether the figure keeps its bounds."""
+    def is_within_bounds(self) -> bool:
+        """Return whether the value is within its bounds."""
         if self.at_most is not None and not self.value <= self.at_most:
             return False
         return self.at_least is None or self.value >= self.at_least
 
-    def bound(self) -> str:
+    def format_bounds(self) -> str:
         """Return the bounds as text; empty if there are none."""
         parts = []
         if self.at_least is not None:
@@ -40,6 +40,6 @@
         return " and ".join(parts)
 
 
-Bench = typing.Callable[[], list[Measure]]
+Benchmark = typing.Callable[[], list[Measurement]]
 
-BENCHES: registry.Registry[Bench] = registry.Registry(kind="benchmark")
+BENCHMARKS: registry.Registry[Benchmark] = registry.Registry(kind="benchmark")
--- a/wisteriawood/bench/capacity.py
+++ b/wisteriawood/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Works out docs/CAPACITY.md from the slopes in docs/slopes."""
+"""Computes docs/CAPACITY.md from the measured slopes in docs/slopes."""
 
 import dataclasses
 import json
@@ -20,13 +20,13 @@
 
 MAX_CORES_PERCENT = 1.6
 MAX_MEMORY_MB = 64.0
-MAX_WIRE_KB = 5.0
-MAX_WRITES = 300.0
-MAX_READS = 2_000.0
+MAX_WIRE_KB_PER_S = 5.0
+MAX_WRITES_PER_S = 300.0
+MAX_READS_PER_S = 2_000.0
 
 
 class Slopes:
-    """The measured figures, by name.
+    """Measured costs per unit of load, by name.
 
     Args:
         folder: Folder of the JSON files.
@@ -41,270 +41,272 @@
                 self._values[slope["name"]] = float(slope["value"])
 
     def get(self, name: str) -> float:
-        """Return a figure.
+        """Return the value of a slope.
 
         Raises:
-            KeyError: It was not measured.
+            KeyError: The slope was not measured.
         """
         return self._values[name]
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Line:
-    """One line of the page.
+class CostRow:
+    """One row of the table on the page.
 
     Attributes:
-        role: Role that bears the cost.
-        what: What it is.
-        value: Amount at the size to design for.
-        unit: Its unit.
-        limit: Greatest amount allowed; None if no limit is given.
-        mechanism: What carries it.
+        role: Role that incurs the cost.
+        quantity: Description of the cost.
+        value: Amount at the design size.
+        unit: Unit of the amount.
+        limit: Upper limit of the amount; None for no limit.
+        mechanism: Part of the design that determines the cost.
     """
 
     role: str
-    what: str
+    quantity: str
     value: float
     unit: str
     limit: float | None = None
     mechanism: str = ""
 
     def verdict(self) -> str:
-        """Return whether the limit is kept."""
+        """Return "met" or "RED"; empty if there is no limit."""
         if self.limit is None:
             return ""
         return "met" if self.value <= self.limit else "RED"
 
     def render(self) -> str:
-        """Return the line as a row of a table."""
+        """Return the row in Markdown."""
         limit = "" if self.limit is None else f"{self.limit:,.4g}"
         return (
-            f"| {self.role} | {self.what} | {self.value:,.4g} {self.unit} "
+            f"| {self.role} | {self.quantity} | {self.value:,.4g} {self.unit} "
             f"| {limit} | {self.verdict()} | {self.mechanism} |"
         )
 
 
-def _entry_hosts() -> float:
+def _entry_host_count() -> float:
     return TEAMS * ENTRY_HOSTS_PER_TEAM
 
 
-def _entry_lines(slopes: Slopes) -> list[Line]:
-    per_zone = _entry_hosts() / ZONES
-    link_us = slopes.get("slots/35-targets/entry-host")
-    changes_ms = slopes.get("configuration.change.cpu_ms")
-    change_rate = CHANGES_PER_DAY / DAY_S
-    cores = (
+def _entry_rows(slopes: Slopes) -> list[CostRow]:
+    per_zone = _entry_host_count() / ZONES
+    link_us_per_s = slopes.get("slots/35-targets/entry-host")
+    change_ms = slopes.get("configuration.change.cpu_ms")
+    changes_per_s = CHANGES_PER_DAY / DAY_S
+    core_percent = (
         slopes.get("control/entry/processor")
-        + 100 * (per_zone - 1) * link_us / 1e6
-        + 100 * change_rate * changes_ms / 1e3
+        + 100 * (per_zone - 1) * link_us_per_s / 1e6
+        + 100 * changes_per_s * change_ms / 1e3
     )
-    wire = per_zone * slopes.get(
+    wire_bytes_per_s = per_zone * slopes.get(
         "slots/35-targets/quiet-link"
-    ) + change_rate * slopes.get("configuration.change.polled_bytes")
+    ) + changes_per_s * slopes.get("configuration.change.polled_bytes")
     return [
-        Line(
+        CostRow(
             role="entry",
-            what=f"idle processor time, links to {per_zone:.0f} schedulers",
-            value=cores,
+            quantity=f"idle CPU time, links to {per_zone:.0f} schedulers",
+            value=core_percent,
             unit="% core",
             limit=MAX_CORES_PERCENT,
-            mechanism="reports carry changes only; a report each 0.5 s",
+            mechanism="reports contain only changes; one report every 0.5 s",
         ),
-        Line(
+        CostRow(
             role="entry",
-            what="resident memory",
+            quantity="resident memory",
             value=slopes.get("control/entry/memory"),
             unit="MB",
             limit=MAX_MEMORY_MB,
             mechanism="each daemon imports only what its role uses",
         ),
-        Line(
+        CostRow(
             role="entry",
-            what="slot links and configuration on the wire",
-            value=wire / 1e3,
+            quantity="network traffic of slot links and configuration",
+            value=wire_bytes_per_s / 1e3,
             unit="KB/s",
-            limit=MAX_WIRE_KB,
-            mechanism="changes only, but one link to each scheduler",
+            limit=MAX_WIRE_KB_PER_S,
+            mechanism="only changes are sent, but on one link per scheduler",
         ),
-        Line(
+        CostRow(
             role="entry",
-            what="own share of a request (admission to release)",
+            quantity="own CPU time per request (admission to release)",
             value=slopes.get("requests/cost/25-targets"),
             unit="us",
-            mechanism="in-process decisions, no hop between our processes",
+            mechanism="decisions in process, no hop between daemons",
         ),
     ]
 
 
-def _scheduler_cores(slopes: Slopes) -> float:
-    """Return the processor time of one scheduler, in % of a core."""
-    schedulers = _entry_hosts()
-    grantor_us = (
+def _scheduler_core_percent(slopes: Slopes) -> float:
+    """Return the CPU time of one scheduler, in % of a core."""
+    schedulers = _entry_host_count()
+    # CPU time per target, from the difference of 350 and 35 targets.
+    grantor_us_per_s = (
         slopes.get("slots/350-targets/grantor")
         - slopes.get("slots/35-targets/grantor")
     ) / 315.0
-    links = TARGETS / schedulers * schedulers / ZONES
+    # Targets of a scheduler times the entry hosts of its zone.
+    target_links = TARGETS / schedulers * schedulers / ZONES
     return (
         slopes.get("control/scheduler/processor")
         + WORKERS / schedulers * slopes.get("control/worker/processor")
         + 100
         * (STARTS_PER_S / schedulers)
         * slopes.get("recovery/starts/cpu-per-start")
-        + 100 * grantor_us * links / 1e6
+        + 100 * grantor_us_per_s * target_links / 1e6
     )
 
 
 def _scheduler_memory_mb(slopes: Slopes) -> float:
-    """Return the memory of one scheduler."""
-    bytes_of_all = (
+    """Return the memory of one scheduler in MB."""
+    total_bytes = (
         WORKERS * slopes.get("tasks/memory/index-per-worker")
         + TASKS * slopes.get("recovery/starts/memory-per-task")
         + TARGETS * slopes.get("slots/350-targets/first-grants")
     )
-    own_mb = bytes_of_all / _entry_hosts() / 1e6
+    own_mb = total_bytes / _entry_host_count() / 1e6
     return slopes.get("control/scheduler/memory") + own_mb
 
 
-def _scheduler_lines(slopes: Slopes) -> list[Line]:
-    schedulers = _entry_hosts()
+def _scheduler_rows(slopes: Slopes) -> list[CostRow]:
+    schedulers = _entry_host_count()
     return [
-        Line(
+        CostRow(
             role="scheduler",
-            what=f"processor time, {WORKERS / schedulers:.0f} workers, "
+            quantity=f"CPU time, {WORKERS / schedulers:.0f} workers, "
             f"{TASKS / schedulers:.0f} tasks, "
             f"{TARGETS / schedulers:.0f} targets, "
             f"{schedulers / ZONES:.0f} entry hosts",
-            value=_scheduler_cores(slopes),
+            value=_scheduler_core_percent(slopes),
             unit="% core",
             limit=MAX_CORES_PERCENT,
-            mechanism="racks spread over all entry hosts; one renewal a "
-            "worker; placement by an index",
+            mechanism="racks spread over all entry hosts; one renewal per "
+            "worker; indexed placement",
         ),
-        Line(
+        CostRow(
             role="scheduler",
-            what="resident memory",
+            quantity="resident memory",
             value=_scheduler_memory_mb(slopes),
             unit="MB",
             limit=MAX_MEMORY_MB,
-            mechanism="one record a task, slotted; no copy of the table",
+            mechanism="one object with slots per task; no copy of the table",
         ),
-        Line(
+        CostRow(
             role="scheduler",
-            what="starts at the peak, each",
+            quantity="task starts at peak, per scheduler",
             value=STARTS_PER_S / schedulers,
             unit="1/s",
             mechanism="group commit of up to 200 changes",
         ),
-        Line(
+        CostRow(
             role="scheduler",
-            what="p99 of a placement decision at 20,000 workers",
+            quantity="p99 latency of a placement decision, 20,000 workers",
             value=slopes.get("tasks/decisions/20000-workers/p99"),
             unit="us",
-            mechanism="buckets of free resources, sampled",
+            mechanism="sampling from buckets of workers by free resources",
         ),
     ]
 
 
-def _worker_lines(slopes: Slopes) -> list[Line]:
+def _worker_rows(slopes: Slopes) -> list[CostRow]:
     tasks = TASKS / WORKERS
-    bytes_each = (
+    memory_mb = (
         slopes.get("tasks/memory/index-per-worker")
         + tasks * slopes.get("recovery/starts/memory-per-task")
     ) / 1e6
     return [
-        Line(
+        CostRow(
             role="worker",
-            what="processor time that its control costs a scheduler",
+            quantity="scheduler CPU time to control a worker",
             value=slopes.get("control/worker/processor"),
             unit="% core",
             limit=MAX_CORES_PERCENT,
-            mechanism="one inventory and one renewal a second for all tasks",
+            mechanism="one inventory and one renewal per second for all tasks",
         ),
-        Line(
+        CostRow(
             role="worker",
-            what="memory that it costs a scheduler",
-            value=bytes_each,
+            quantity="scheduler memory to control a worker",
+            value=memory_mb,
             unit="MB",
             limit=MAX_MEMORY_MB,
-            mechanism="one record a task",
+            mechanism="one object per task",
         ),
-        Line(
+        CostRow(
             role="worker",
-            what="control on the wire, idle",
+            quantity="idle network traffic to control a worker",
             value=slopes.get("control/worker/wire"),
             unit="KB/s",
-            limit=MAX_WIRE_KB,
-            mechanism="HTTP with JSON, as the platform gives it",
+            limit=MAX_WIRE_KB_PER_S,
+            mechanism="HTTP with JSON, as the platform defines it",
         ),
     ]
 
 
-def _table_lines(slopes: Slopes) -> list[Line]:
-    hosts = _entry_hosts()
+def _table_rows(slopes: Slopes) -> list[CostRow]:
+    hosts = _entry_host_count()
     writes_per_start = slopes.get("recovery/starts/writes-per-start")
-    change_rate = CHANGES_PER_DAY / DAY_S
-    peak_starts = STARTS_PER_S * writes_per_start
-    idle_writes = hosts * slopes.get("control/host/writes")
+    changes_per_s = CHANGES_PER_DAY / DAY_S
+    start_writes_per_s = STARTS_PER_S * writes_per_start
+    idle_writes_per_s = hosts * slopes.get("control/host/writes")
     reads = hosts * slopes.get("control/host/reads")
     return [
-        Line(
+        CostRow(
             role="table",
-            what="writes: starts at the peak",
-            value=peak_starts,
+            quantity="writes: task starts at peak",
+            value=start_writes_per_s,
             unit="1/s",
-            limit=MAX_WRITES,
+            limit=MAX_WRITES_PER_S,
             mechanism="group commit",
         ),
-        Line(
+        CostRow(
             role="table",
-            what="writes: changes of the configuration",
-            value=change_rate,
+            quantity="writes: configuration changes",
+            value=changes_per_s,
             unit="1/s",
-            limit=MAX_WRITES,
-            mechanism="one delta row a change",
+            limit=MAX_WRITES_PER_S,
+            mechanism="one row with a delta per change",
         ),
-        Line(
+        CostRow(
             role="table",
-            what=f"writes: member rows of {hosts:.0f} entry hosts",
-            value=idle_writes,
+            quantity=f"writes: member rows of {hosts:.0f} entry hosts",
+            value=idle_writes_per_s,
             unit="1/s",
-            limit=MAX_WRITES,
-            mechanism="one renewal row for all racks of a holder",
+            limit=MAX_WRITES_PER_S,
+            mechanism="one renewed row for all racks of a holder",
         ),
-        Line(
+        CostRow(
             role="table",
-            what="reads: polls of all daemons",
+            quantity="reads: polls of all daemons",
             value=reads,
             unit="1/s",
-            limit=MAX_READS,
-            mechanism="each daemon polls for itself",
+            limit=MAX_READS_PER_S,
+            mechanism="each daemon polls independently",
         ),
     ]
 
 
-def _other_lines(slopes: Slopes) -> list[Line]:
-    change_rate = CHANGES_PER_DAY / DAY_S
+def _other_rows(slopes: Slopes) -> list[CostRow]:
+    changes_per_s = CHANGES_PER_DAY / DAY_S
     return [
-        Line(
+        CostRow(
             role="object store",
-            what="checkpoints, if each job is evicted once a day",
+            quantity="checkpoints, if each job is evicted once a day",
             value=JOBS_PER_DAY / DAY_S,
             unit="1/s",
-            mechanism="one object a checkpoint",
+            mechanism="one object per checkpoint",
         ),
-        Line(
+        CostRow(
             role="peer links",
-            what="configuration passed on to a host that is cut off",
-            value=change_rate
+            quantity="configuration relayed to hosts without the platform",
+            value=changes_per_s
             * slopes.get("configuration.change.passed_on_bytes")
             / 1e3,
             unit="KB/s",
-            limit=MAX_WIRE_KB,
-            mechanism="deltas only to peers that ask for them",
+            limit=MAX_WIRE_KB_PER_S,
+            mechanism="deltas, only to peers that request them",
         ),
-        Line(
+        CostRow(
             role="client",
-            what="a change of the configuration, in bytes",
+            quantity="size of a configuration change",
             value=slopes.get("configuration.change.polled_bytes"),
             unit="B",
             mechanism="JSON merge patch",
@@ -312,24 +314,27 @@
     ]
 
 
-_HEAD = f"""# Capacity
+_HEADER = f"""# Capacity
 
-Worked out by `make capacity` from the slopes in [slopes](slopes/README.md)
-for the size to design for: {WORKERS:,} workers, {TASKS:,} running tasks,
-{TARGETS:,} targets (each latency-critical task counted as one),
-{STARTS_PER_S:,.0f} starts a second at the peak, {JOBS_PER_DAY:,} jobs and
-{CHANGES_PER_DAY:,} changes of the configuration a day, {TEAMS} teams,
-{ZONES} availability zones. Entry hosts: today's {ENTRY_HOSTS_PER_TEAM} a
-team, {_entry_hosts():.0f} in all, each with an entry daemon and a
-scheduler; racks and targets are spread evenly over them.
+Computed by `make capacity` from the measured slopes in
+[slopes](slopes/README.md) for this design size: {WORKERS:,} workers,
+{TASKS:,} running tasks, {TARGETS:,} targets (each latency-critical task
+counts as one), {STARTS_PER_S:,.0f} task starts per second at peak,
+{JOBS_PER_DAY:,} jobs and {CHANGES_PER_DAY:,} configuration changes per day,
+{TEAMS} teams, {ZONES} availability zones. The number of entry hosts per
+team stays at today's {ENTRY_HOSTS_PER_TEAM}, which gives
+{_entry_host_count():.0f} entry hosts, each with an entry daemon and a
+scheduler. Racks and targets are distributed evenly over them.
 
-What a node counts: for a worker, what its control costs elsewhere, since
-nothing of ours runs on it; for an entry host, each daemon by itself, idle.
-The limits are {MAX_CORES_PERCENT}% of a core, {MAX_MEMORY_MB:.0f} MB and
-{MAX_WIRE_KB:.0f} KB a second a node, {MAX_WRITES:.0f} writes and
-{MAX_READS:,.0f} reads a second of the table. A line is met or RED.
+The limits per node are {MAX_CORES_PERCENT}% of a core,
+{MAX_MEMORY_MB:.0f} MB and {MAX_WIRE_KB_PER_S:.0f} KB per second. On an
+entry host each daemon is measured separately, while idle. For a worker,
+where no process of this project runs, the cost of its control on other
+nodes is counted. The limits of the table are {MAX_WRITES_PER_S:.0f} writes
+and {MAX_READS_PER_S:,.0f} reads per second. Each row with a limit is either
+met or RED.
 
-| role | what | amount | limit | | mechanism that carries it |
+| role | quantity | amount | limit | | mechanism |
 | --- | --- | --- | --- | --- | --- |
 """
 
@@ -341,39 +346,42 @@
         KeyError: A slope was not measured.
     """
     slopes = Slopes(folder=DOCS / "slopes")
-    lines = [
-        *_entry_lines(slopes),
-        *_scheduler_lines(slopes),
-        *_worker_lines(slopes),
-        *_table_lines(slopes),
-        *_other_lines(slopes),
+    cost_rows = [
+        *_entry_rows(slopes),
+        *_scheduler_rows(slopes),
+        *_worker_rows(slopes),
+        *_table_rows(slopes),
+        *_other_rows(slopes),
     ]
-    rows = "\n".join(line.render() for line in lines)
-    return f"{_HEAD}{rows}\n\n{_breaks(slopes, lines)}"
+    rows = "\n".join(row.render() for row in cost_rows)
+    return f"{_HEADER}{rows}\n\n{_render_bottlenecks(slopes, cost_rows)}"
 
 
-def _breaks(slopes: Slopes, lines: list[Line]) -> str:
+def _render_bottlenecks(slopes: Slopes, cost_rows: list[CostRow]) -> str:
     reads = slopes.get("control/host/reads")
     writes = slopes.get("control/host/writes")
-    red = sum(line.verdict() == "RED" for line in lines)
-    return f"""## Where today's design breaks first
-
-{red} lines are RED. In the order in which growth meets them:
-
-1. **Reads of the table.** An entry host with its two daemons reads
-   {reads:.1f} times a second while idle, so {MAX_READS:,.0f} reads a second
-   are used up at {MAX_READS / reads:,.0f} entry hosts. Today's 6 to 7 a team
-   use {7 * reads:.0f}. What will carry it: one reader a zone that passes
-   rows on over the peer links, as versions of the configuration already
-   travel.
-2. **Writes of member rows.** {writes:.2f} a second an entry host; the
-   several hundred are used up at {MAX_WRITES / writes:,.0f} entry hosts. What
-   will carry it: renewals gathered by one daemon a zone.
-3. **Slot links.** Each entry host links with each scheduler of its zone,
-   so a zone of n hosts has n x n links. What will carry it: links only to
-   the schedulers whose targets serve the entry host's own teams.
-
-Rebuilding for these is not part of this version.
+    red_count = sum(row.verdict() == "RED" for row in cost_rows)
+    return f"""## Bottlenecks of the current design
+
+{red_count} rows are RED. As the system grows, it reaches these limits in
+this order:
+
+1. **Reads of the table.** An entry host with its two daemons makes
+   {reads:.1f} reads per second while idle. The limit of
+   {MAX_READS_PER_S:,.0f} reads per second is reached with
+   {MAX_READS_PER_S / reads:,.0f} entry hosts. Today's 6 to 7 entry hosts of
+   a team make up to {7 * reads:.0f} reads per second. Proposed change: one
+   reader per zone that forwards rows over the peer links, as versions of
+   the configuration are forwarded already.
+2. **Writes of member rows.** An entry host makes {writes:.2f} writes per
+   second. The limit of several hundred writes per second is reached with
+   {MAX_WRITES_PER_S / writes:,.0f} entry hosts. Proposed change: one daemon
+   per zone that combines the renewals.
+3. **Slot links.** Each entry host has a link to each scheduler of its zone,
+   so a zone with n entry hosts has n x n links. Proposed change: links only
+   to the schedulers whose targets serve the teams of the entry host.
+
+These changes are not part of this version.
 """
 
 
--- a/wisteriawood/bench/clocks.py
+++ b/wisteriawood/bench/clocks.py
@@ -1,16 +1,18 @@
-"""A clock for trio that jumps to the next deadline instead of waiting."""
+"""A virtual clock for trio that jumps to the next deadline."""
 
 import math
 
 import trio
 
-IDLE_S = 1.0
+# Real time that trio sleeps when no task has a deadline.
+IDLE_SLEEP_S = 1.0
 
 
-class JumpClock(trio.abc.Clock):
-    """Virtual time for one run; nothing outside of the process is waited for.
+class AutojumpClock(trio.abc.Clock):
+    """Virtual clock for a run without I/O outside of the process.
 
-    Cheaper than the mock clock of trio, which looks for idle tasks first.
+    It is cheaper than `trio.testing.MockClock`, which waits until all tasks
+    are blocked before it jumps.
     """
 
     __slots__ = ("_now_s",)
@@ -19,19 +21,19 @@
         self._now_s = 0.0
 
     def start_clock(self) -> None:
-        """Do nothing; the clock stands until it jumps."""
+        """Do nothing; the time changes only when the clock jumps."""
 
     def current_time(self) -> float:
         """Return the virtual time in seconds."""
         return self._now_s
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Jump to a deadline and return that there is nothing to wait for.
+        """Jump to a deadline and return 0, as no real time has to pass.
 
         Args:
             deadline: Virtual time at which the next task is due.
         """
         if math.isinf(deadline):
-            return IDLE_S
+            return IDLE_SLEEP_S
         self._now_s = max(self._now_s, deadline)
         return 0.0
--- a/wisteriawood/bench/colocations.py
+++ b/wisteriawood/bench/colocations.py
@@ -1,4 +1,4 @@
-"""Workers as lists of tasks with slowdowns, to measure policies on."""
+"""Simulates tasks that slow each other on workers, to compare policies."""
 
 import collections
 import dataclasses
@@ -22,68 +22,72 @@
 RACK_SIZE = 8
 REPORT_PERIOD_S = 3
 REPORT_LAG_S = 3
-# Batch work offered each second, as a share of all cores.
+# Core-seconds of batch jobs submitted each second, as a share of all cores.
 OFFERED_SHARE = 0.4
-WAVE_SHARE = 0.7
+# Share of the noisy class among the batch jobs submitted in a wave.
+WAVE_NOISY_SHARE = 0.7
 WAVE_PERIOD_S = 150
-WAVE_S = 40
+WAVE_LENGTH_S = 40
 CHECKPOINT_S = 3
 CHECKPOINT_LOST_SHARE = 0.1
 RESTART_S = 5.0
 
 
 class DeclaredSizes(sizes.Sizes):
-    """Takes what is declared for the truth."""
+    """Predicts that each task uses exactly its declared resources."""
 
     __slots__ = ()
 
     def is_known(self, name: str) -> bool:
-        """Tell that nothing has to be measured."""
+        """Return True: no class has to be measured."""
         return True
 
     def predict(
         self, name: str, declared: resources.Resources
     ) -> resources.Resources:
-        """Return what is declared."""
+        """Return the declared resources."""
         return declared
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Running:
-    """A task, as it really is.
+class SimulatedTask:
+    """State of a task that the policies do not see.
 
     Attributes:
-        spec: The task.
-        true: What it really uses.
-        run_s: Seconds that it runs alone.
-        done_s: Seconds of that which are done.
-        saved_s: Seconds of that in the newest checkpoint.
-        wait_s: Seconds until it does anything after a start.
-        leaves_s: Time at which its eviction ends; 0 if it stays.
-        submitted_s: Time of submission.
+        spec: Specification as submitted.
+        actual: Resources that the task actually uses.
+        run_s: Run time in seconds without any slowdown.
+        done_s: Seconds of `run_s` that are done.
+        checkpointed_s: Seconds of `run_s` in the newest checkpoint.
+        startup_s: Seconds until the task makes progress after a start.
+        stops_at_s: Simulated time at which an evicted task stops; 0 if it
+            is not being evicted.
+        submitted_s: Simulated time of submission.
     """
 
     spec: tasks.TaskSpec
-    true: resources.Resources
+    actual: resources.Resources
     run_s: float
     done_s: float = 0.0
-    saved_s: float = 0.0
-    wait_s: float = RESTART_S
-    leaves_s: float = 0.0
+    checkpointed_s: float = 0.0
+    startup_s: float = RESTART_S
+    stops_at_s: float = 0.0
     submitted_s: float = 0.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Tally:
-    """What a run came to.
+class SimulationResult:
+    """Results of a run of the simulation.
 
     Attributes:
-        slowdowns: Slowdown of each service instance at each second.
+        slowdowns: Slowdown of each service instance in each second.
         finished_core_s: Work of the finished jobs in core-seconds.
-        lost_core_s: Work done twice in core-seconds.
-        evictions: Jobs evicted.
-        overruns: Jobs that the worker killed as its memory ran out.
-        most_counted: Greatest share of a worker's memory that was counted.
+        lost_core_s: Work that was lost and done again, in core-seconds.
+        evictions: Number of evicted jobs.
+        overruns: Number of jobs killed because their worker was out of
+            memory.
+        max_allocated_share: Largest share of a worker's memory that the
+            allocator had allocated.
     """
 
     slowdowns: list[float] = dataclasses.field(default_factory=list)
@@ -91,41 +95,42 @@
     lost_core_s: float = 0.0
     evictions: int = 0
     overruns: int = 0
-    most_counted: float = 0.0
+    max_allocated_share: float = 0.0
 
-    def p99(self) -> float:
-        """Return the slowdown that 1% of the seconds exceed."""
+    def p99_slowdown(self) -> float:
+        """Return the 99th percentile of the slowdowns."""
         found = sorted(self.slowdowns)
         return found[int(0.99 * len(found))]
 
 
-class Colocation:
-    """A site in steps of one second.
+class ColocationSimulation:
+    """Simulates the workers of a site in steps of one second.
 
     Args:
-        site: Whose machines.
-        seed: Seed of the workload.
+        site: Workers and workload to simulate.
+        seed: Seed of the workload and of the policies.
         placement: Name of the placement policy.
         throttling: Name of the throttling policy.
         eviction: Name of the eviction policy.
-        is_oracle: Whether the policies know slowdowns and sizes.
-        learns_sizes: Whether sizes are learned.
+        is_oracle: Whether the policies know the true slowdowns and sizes.
+        learns_sizes: Whether the sizes of task classes are learned from
+            usage reports.
     """
 
     __slots__ = (
-        "_history",
-        "_load_rng",
+        "_delayed_reports",
+        "_workload_rng",
         "_number",
         "_offered_core_s",
         "_rng",
-        "_running",
+        "_tasks",
         "_site",
-        "_sizes_known",
-        "_truth",
+        "_are_sizes_exact",
+        "_true_slowdowns",
         "allocator",
         "monitor",
         "now_s",
-        "tally",
+        "result",
         "workers",
     )
 
@@ -141,18 +146,20 @@
         learns_sizes: bool = True,
     ):
         self._site = site
-        self._truth = sites.Truth(site=site, rng=random.Random(seed))
-        self._load_rng = random.Random(seed + 1)
+        self._true_slowdowns = sites.TrueSlowdowns(
+            site=site, rng=random.Random(seed)
+        )
+        self._workload_rng = random.Random(seed + 1)
         self._rng = random.Random(seed + 2)
-        self._sizes_known = is_oracle
-        learns = learns_sizes and not is_oracle
+        self._are_sizes_exact = is_oracle
+        is_learning = learns_sizes and not is_oracle
         self.allocator = allocators.Allocator(
             rng=random.Random(seed + 3),
             placement=placement,
             eviction=eviction,
             team_quotas=quotas.Quotas(quotas={site.team: site.quota}),
-            estimates=self._truth if is_oracle else None,
-            learned=None if learns else DeclaredSizes(),
+            estimates=self._true_slowdowns if is_oracle else None,
+            learned=None if is_learning else DeclaredSizes(),
         )
         self.monitor = monitors.Monitor(
             allocator=self.allocator, throttling=throttling
@@ -169,34 +176,34 @@
         ]
         for worker in self.workers:
             worker.is_known = True
-        self._running: dict[str, Running] = {}
-        self._history: dict[str, collections.deque] = {
+        self._tasks: dict[str, SimulatedTask] = {}
+        self._delayed_reports: dict[str, collections.deque] = {
             worker.name: collections.deque() for worker in self.workers
         }
         self._number = 0
         self._offered_core_s = 0.0
         self.now_s = 0.0
-        self.tally = Tally()
+        self.result = SimulationResult()
 
     def _submit(
         self, task_class: sites.TaskClass, kind: tasks.TaskKind
     ) -> None:
-        rng = self._load_rng
+        rng = self._workload_rng
         self._number += 1
-        true = resources.Resources(
+        actual = resources.Resources(
             cores=task_class.cores * math.exp(rng.gauss(0, 0.15)),
             memory_bytes=int(
                 task_class.memory_gib * GIB * math.exp(rng.gauss(0, 0.1))
             ),
         )
-        factor = task_class.bias or 10 ** rng.uniform(-1, 1)
+        factor = task_class.declared_ratio or 10 ** rng.uniform(-1, 1)
         factor *= math.exp(rng.gauss(0, 0.1))
-        declared = true
-        if kind == tasks.TaskKind.BATCH and not self._sizes_known:
+        declared = actual
+        if kind == tasks.TaskKind.BATCH and not self._are_sizes_exact:
             declared = resources.Resources(
-                cores=min(60.0, max(0.25, true.cores * factor)),
+                cores=min(60.0, max(0.25, actual.cores * factor)),
                 memory_bytes=min(
-                    240 * GIB, int(max(0.25, factor) * true.memory_bytes)
+                    240 * GIB, int(max(0.25, factor) * actual.memory_bytes)
                 ),
             )
         run_s = task_class.run_s * math.exp(rng.gauss(0, 0.4))
@@ -207,21 +214,21 @@
             needs=declared,
             task_class=task_class.name,
         )
-        self._running[spec.id] = Running(
-            spec=spec, true=true, run_s=run_s, submitted_s=self.now_s
+        self._tasks[spec.id] = SimulatedTask(
+            spec=spec, actual=actual, run_s=run_s, submitted_s=self.now_s
         )
-        self._queue(spec)
+        self._enqueue(spec)
 
-    def _queue(self, spec: tasks.TaskSpec) -> None:
+    def _enqueue(self, spec: tasks.TaskSpec) -> None:
         self.allocator.queue.add(
             tasks.Task(spec=spec, zone="zone"), version=1, now_s=self.now_s
         )
 
-    def run(self, *, seconds: int) -> Tally:
-        """Run the site and return what it came to.
+    def run(self, *, seconds: int) -> SimulationResult:
+        """Run the simulation and return its results.
 
         Args:
-            seconds: Length of the run.
+            seconds: Simulated length of the run.
         """
         for _number in range(self._site.instances):
             self._submit(self._site.service, tasks.TaskKind.SERVICE)
@@ -229,34 +236,34 @@
             self.now_s = float(second)
             if second >= 5:
                 self._submit_batch(second)
-            self._step_all(second)
+            self._step_workers(second)
             self.allocator.refresh(self.workers, now_s=self.now_s)
             self.allocator.place(now_s=self.now_s)
-        return self.tally
+        return self.result
 
     def _submit_batch(self, second: int) -> None:
-        in_wave = second % WAVE_PERIOD_S < WAVE_S
-        rng = self._load_rng
+        in_wave = second % WAVE_PERIOD_S < WAVE_LENGTH_S
+        rng = self._workload_rng
         self._offered_core_s += OFFERED_SHARE * 64 * self._site.workers
         while self._offered_core_s > 0:
-            if in_wave and rng.random() < WAVE_SHARE:
+            if in_wave and rng.random() < WAVE_NOISY_SHARE:
                 task_class = self._site.batch[-1]
             else:
                 task_class = rng.choice(self._site.batch[:-1])
             self._offered_core_s -= task_class.cores * task_class.run_s
             self._submit(task_class, tasks.TaskKind.BATCH)
 
-    def _step_all(self, second: int) -> None:
+    def _step_workers(self, second: int) -> None:
         for number, worker in enumerate(self.workers):
-            reports = self._step(worker)
-            history = self._history[worker.name]
-            history.append(reports)
-            if len(history) <= REPORT_LAG_S:
+            reports = self._step_worker(worker)
+            delayed = self._delayed_reports[worker.name]
+            delayed.append(reports)
+            if len(delayed) <= REPORT_LAG_S:
                 continue
-            reports = history.popleft()
+            reports = delayed.popleft()
             if (second + number) % REPORT_PERIOD_S == 0 and reports:
                 self.monitor.observe(worker, reports, now_s=self.now_s)
-        self.monitor.keep_only(self._running.keys())
+        self.monitor.keep_only(self._tasks.keys())
 
     def _neighbours(
         self, worker: workers.Worker
@@ -264,46 +271,61 @@
         loads: dict[str, float] = {}
         for task_id, placement in worker.placements.items():
             name = indexes.class_of(placement.task.spec)
-            cores = self._running[task_id].true.cores * placement.throttle
+            cores = self._tasks[task_id].actual.cores * placement.throttle
             loads[name] = loads.get(name, 0.0) + cores / 64.0
         return {
             name: interference.Neighbour(name=name, load=load)
             for name, load in loads.items()
         }
 
-    def _step(self, worker: workers.Worker) -> list[worker_links.UsageReport]:
+    def _step_worker(
+        self, worker: workers.Worker
+    ) -> list[worker_links.UsageReport]:
         self._kill_overruns(worker)
-        counted = 1 - worker.free.memory_bytes / worker.capacity.memory_bytes
-        self.tally.most_counted = max(self.tally.most_counted, counted)
+        allocated_share = (
+            1 - worker.free.memory_bytes / worker.capacity.memory_bytes
+        )
+        self.result.max_allocated_share = max(
+            self.result.max_allocated_share, allocated_share
+        )
         neighbours = self._neighbours(worker)
-        busy = sum(other.load for other in neighbours.values())
-        # The harm that all of a class do, less that which one does itself.
+        worker_load = sum(other.load for other in neighbours.values())
+        # Slowdown of each class by all classes on the worker, its own
+        # included; each task divides out what it contributes itself.
         harms = {
-            name: self._truth.slowdown(name, list(neighbours.values()), busy)
+            name: self._true_slowdowns.slowdown(
+                name, list(neighbours.values()), worker_load
+            )
             for name in neighbours
         }
         reports = []
         for task_id, placement in list(worker.placements.items()):
-            running = self._running[task_id]
-            name = indexes.class_of(running.spec)
-            own = self._truth.harm(name, name, 0.0) * running.true.cores
-            own *= placement.throttle / 64.0 * (0.7 + 0.5 * busy)
-            slowdown = max(1.0, harms[name] / math.exp(own))
+            simulated = self._tasks[task_id]
+            name = indexes.class_of(simulated.spec)
+            own_harm = (
+                self._true_slowdowns.harm(name, name, 0.0)
+                * simulated.actual.cores
+            )
+            own_harm *= placement.throttle / 64.0 * (0.7 + 0.5 * worker_load)
+            slowdown = max(1.0, harms[name] / math.exp(own_harm))
             speed = placement.throttle / slowdown
-            self._advance(worker, placement, running, speed, slowdown)
-            reports.append(self._report(placement, running, speed))
+            self._advance(worker, placement, simulated, speed, slowdown)
+            reports.append(self._report(placement, simulated, speed))
         return reports
 
     def _report(
-        self, placement: workers.Placement, running: Running, speed: float
+        self,
+        placement: workers.Placement,
+        simulated: SimulatedTask,
+        speed: float,
     ) -> worker_links.UsageReport:
         noise = math.exp(self._rng.gauss(0, 0.03))
         return worker_links.UsageReport(
-            task=running.spec.id,
+            task=simulated.spec.id,
             attempt=placement.task.attempt,
             used=resources.Resources(
-                cores=running.true.cores * placement.throttle,
-                memory_bytes=running.true.memory_bytes,
+                cores=simulated.actual.cores * placement.throttle,
+                memory_bytes=simulated.actual.memory_bytes,
             ),
             speed=min(1.0, speed * noise),
             measured_s=self.now_s,
@@ -313,47 +335,51 @@
         self,
         worker: workers.Worker,
         placement: workers.Placement,
-        running: Running,
+        simulated: SimulatedTask,
         speed: float,
         slowdown: float,
     ) -> None:
-        if running.spec.kind != tasks.TaskKind.BATCH:
+        if simulated.spec.kind != tasks.TaskKind.BATCH:
             if self.now_s > 60:
-                self.tally.slowdowns.append(slowdown)
+                self.result.slowdowns.append(slowdown)
             return
-        if running.wait_s > 0:
-            running.wait_s -= 1.0
+        if simulated.startup_s > 0:
+            simulated.startup_s -= 1.0
         else:
-            running.done_s += speed
-        if running.done_s >= running.run_s:
-            worker.remove(running.spec.id)
-            del self._running[running.spec.id]
-            self.tally.finished_core_s += running.run_s * running.true.cores
+            simulated.done_s += speed
+        if simulated.done_s >= simulated.run_s:
+            worker.remove(simulated.spec.id)
+            del self._tasks[simulated.spec.id]
+            self.result.finished_core_s += (
+                simulated.run_s * simulated.actual.cores
+            )
             return
-        if placement.eviction and not running.leaves_s:
-            running.leaves_s = self.now_s + CHECKPOINT_S
-        if running.leaves_s and self.now_s >= running.leaves_s:
+        if placement.eviction and not simulated.stops_at_s:
+            simulated.stops_at_s = self.now_s + CHECKPOINT_S
+        if simulated.stops_at_s and self.now_s >= simulated.stops_at_s:
             if self._rng.random() >= CHECKPOINT_LOST_SHARE:
-                running.saved_s = running.done_s
-            self.tally.evictions += 1
-            self._take_off(worker, running)
-
-    def _take_off(self, worker: workers.Worker, running: Running) -> None:
-        worker.remove(running.spec.id)
-        lost_s = running.done_s - running.saved_s + RESTART_S
-        self.tally.lost_core_s += lost_s * running.true.cores
-        running.done_s = running.saved_s
-        running.wait_s = RESTART_S
-        running.leaves_s = 0.0
-        self._queue(running.spec)
+                simulated.checkpointed_s = simulated.done_s
+            self.result.evictions += 1
+            self._requeue(worker, simulated)
+
+    def _requeue(
+        self, worker: workers.Worker, simulated: SimulatedTask
+    ) -> None:
+        worker.remove(simulated.spec.id)
+        lost_s = simulated.done_s - simulated.checkpointed_s + RESTART_S
+        self.result.lost_core_s += lost_s * simulated.actual.cores
+        simulated.done_s = simulated.checkpointed_s
+        simulated.startup_s = RESTART_S
+        simulated.stops_at_s = 0.0
+        self._enqueue(simulated.spec)
 
     def _kill_overruns(self, worker: workers.Worker) -> None:
-        found = [self._running[task_id] for task_id in worker.placements]
-        used = sum(running.true.memory_bytes for running in found)
-        for running in reversed(found):
+        found = [self._tasks[task_id] for task_id in worker.placements]
+        used = sum(simulated.actual.memory_bytes for simulated in found)
+        for simulated in reversed(found):
             if used <= worker.capacity.memory_bytes:
                 return
-            if running.spec.kind == tasks.TaskKind.BATCH:
-                used -= running.true.memory_bytes
-                self.tally.overruns += 1
-                self._take_off(worker, running)
+            if simulated.spec.kind == tasks.TaskKind.BATCH:
+                used -= simulated.actual.memory_bytes
+                self.result.overruns += 1
+                self._requeue(worker, simulated)
--- a/wisteriawood/bench/configuration.py
+++ b/wisteriawood/bench/configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: from accepted to in force, bytes and processor time."""
+"""Measures the delay, bytes and CPU time of configuration changes."""
 
 import dataclasses
 import itertools
@@ -19,65 +19,68 @@
 from wisteriawood.links import platforms
 from wisteriawood.tests import builders
 
-IN_FORCE_BOUND_S = 3.0
+MAX_ACTIVATION_S = 3.0
 ZONES = ("linz-a", "wien-b", "graz-c")
 LINK_DELAY_S = 0.0045
 SETTLE_S = 6.0
 CHANGES = 5
 CHANGE_PERIOD_S = 3.37
 START_SPREAD_S = 1.0
-FRESH_CUT_S = 0.1
+LATE_ISOLATION_S = 0.1
 TEAMS = 140
 SERVICES = 4
 CPU_CHANGES = 500
-CPU_BOUND_MS = 2.0
+MAX_CHANGE_CPU_MS = 2.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Case:
-    """One world to measure.
+    """Conditions of one measurement.
 
     Attributes:
         hosts: Number of entry hosts.
-        share_cut: One of so many is cut off from the platform; 0 for none.
-        is_fresh: Whether the cuts come just before each change.
+        isolated_every: Every host of this interval is cut off from the
+            platform; 0 for none.
+        is_isolated_late: Whether hosts are cut off LATE_ISOLATION_S before
+            each change and reconnected after it; otherwise they are cut
+            off before the first change and stay so.
     """
 
     hosts: int
-    share_cut: int = 0
-    is_fresh: bool = False
+    isolated_every: int = 0
+    is_isolated_late: bool = False
 
     def name(self) -> str:
-        """Return the case in words."""
-        if not self.share_cut:
+        """Return the case as part of the name of a measurement."""
+        if not self.isolated_every:
             return f"{self.hosts} hosts, none cut off"
-        since = " just before" if self.is_fresh else ""
-        return f"{self.hosts} hosts, 1 of {self.share_cut} cut off{since}"
+        since = " just before" if self.is_isolated_late else ""
+        return f"{self.hosts} hosts, 1 of {self.isolated_every} cut off{since}"
 
 
 CASES = (
     Case(hosts=6),
-    Case(hosts=6, share_cut=3),
-    Case(hosts=6, share_cut=3, is_fresh=True),
-    Case(hosts=200, share_cut=3),
+    Case(hosts=6, isolated_every=3),
+    Case(hosts=6, isolated_every=3, is_isolated_late=True),
+    Case(hosts=200, isolated_every=3),
 )
 
 
-class InForce:
-    """Times at which hosts put versions in force.
+class ActivationTimes:
+    """Times at which entry hosts put versions in force.
 
     Args:
-        world: World whose entry hosts are watched.
+        world: World whose entry hosts are observed.
     """
 
-    __slots__ = ("_seen_s", "_world")
+    __slots__ = ("_activated_s", "_world")
 
     def __init__(self, *, world):
         self._world = world
-        self._seen_s: dict[tuple[str, int], float] = {}
+        self._activated_s: dict[tuple[str, int], float] = {}
 
     async def watch(self, name: str) -> None:
-        """Note when a host changes its version, for ever.
+        """Record when a host changes its version, until cancelled.
 
         Args:
             name: Name of the entry host.
@@ -85,20 +88,23 @@
         follower = self._world.entries[name].configuration
         while True:
             changed = follower.changed
-            self._seen_s.setdefault(
+            self._activated_s.setdefault(
                 (name, follower.version), anyio.current_time()
             )
             await changed.wait()
 
     def delays_s(self, version: int, *, accepted_s: float) -> list[float]:
-        """Return each host's time from accepted to in force.
+        """Return each host's delay from acceptance to being in force.
 
         Args:
             version: Version number.
-            accepted_s: Time at which it was accepted.
+            accepted_s: Virtual time at which the version was accepted.
         """
         return [
-            max(0.0, self._seen_s.get((name, version), math.inf) - accepted_s)
+            max(
+                0.0,
+                self._activated_s.get((name, version), math.inf) - accepted_s,
+            )
             for name in self._world.entries
         ]
 
@@ -117,44 +123,50 @@
     await anyio.sleep(SETTLE_S)
 
 
-async def _change_often(world, case: Case) -> dict[int, float]:
-    """Apply changes and return when each version was accepted."""
-    cut = [] if not case.share_cut else list(world.entries)[:: case.share_cut]
+async def _apply_changes(world, case: Case) -> dict[int, float]:
+    """Apply changes and return the time of acceptance by version."""
+    isolated = (
+        []
+        if not case.isolated_every
+        else list(world.entries)[:: case.isolated_every]
+    )
     accepted_s = {}
     for number in range(CHANGES):
-        for name in cut:
+        for name in isolated:
             world.cut(f"entry/{name}", "platform")
-        await anyio.sleep(FRESH_CUT_S if case.is_fresh else CHANGE_PERIOD_S)
+        await anyio.sleep(
+            LATE_ISOLATION_S if case.is_isolated_late else CHANGE_PERIOD_S
+        )
         document = builders.make_configuration(deadline_ms=100 + number)
         version = await config_links.apply(
             world.platform, document, base=number
         )
         accepted_s[version] = anyio.current_time()
         await anyio.sleep(CHANGE_PERIOD_S)
-        for name in cut:
-            if case.is_fresh:
+        for name in isolated:
+            if case.is_isolated_late:
                 world.mend(f"entry/{name}", "platform")
-        await anyio.sleep(SETTLE_S if case.is_fresh else 0.0)
+        await anyio.sleep(SETTLE_S if case.is_isolated_late else 0.0)
     return accepted_s
 
 
 async def _measure_world(world, case: Case) -> list[float]:
     await _add_hosts(world, _make_names(case.hosts))
-    in_force = InForce(world=world)
+    activations = ActivationTimes(world=world)
     async with anyio.create_task_group() as group:
         for name in world.entries:
-            group.start_soon(in_force.watch, name)
-        accepted_s = await _change_often(world, case)
+            group.start_soon(activations.watch, name)
+        accepted_s = await _apply_changes(world, case)
         await anyio.sleep(SETTLE_S)
         group.cancel_scope.cancel()
     return [
         delay_s
         for version, at_s in accepted_s.items()
-        for delay_s in in_force.delays_s(version, accepted_s=at_s)
+        for delay_s in activations.delays_s(version, accepted_s=at_s)
     ]
 
 
-def _measure_in_force(case: Case) -> list[base.Measure]:
+def _measure_activation(case: Case) -> list[base.Measurement]:
     delays_s: list[float] = []
 
     async def _main(world) -> None:
@@ -163,14 +175,14 @@
     builders.run_world(_main)
     name = f"configuration/{case.name()}"
     return [
-        base.Measure(
+        base.Measurement(
             name=f"{name}/p50", value=statistics.median(delays_s), unit="s"
         ),
-        base.Measure(
+        base.Measurement(
             name=f"{name}/max",
             value=max(delays_s),
             unit="s",
-            at_most=IN_FORCE_BOUND_S,
+            at_most=MAX_ACTIVATION_S,
         ),
     ]
 
@@ -214,7 +226,7 @@
     return (time.process_time() - started_s) * 1000.0 / len(changes)
 
 
-def _measure_costs() -> list[base.Measure]:
+def _measure_costs() -> list[base.Measurement]:
     change = _make_changes(1)[0]
     row = platforms.Row(
         key="config/version/000000000002",
@@ -230,22 +242,26 @@
         "bytes of a whole version": len(rows.to_json(_make_document())),
     }
     found = [
-        base.Measure(name=f"configuration/{name}", value=size, unit="bytes")
+        base.Measurement(
+            name=f"configuration/{name}", value=size, unit="bytes"
+        )
         for name, size in sizes_bytes.items()
     ]
     found.append(
-        base.Measure(
+        base.Measurement(
             name=f"configuration/{TEAMS} teams/CPU of a change on a host",
             value=_measure_cpu_ms(),
             unit="ms",
-            at_most=CPU_BOUND_MS,
+            at_most=MAX_CHANGE_CPU_MS,
         )
     )
     return found
 
 
-@base.BENCHES.register("configuration")
-def run() -> list[base.Measure]:
-    """Measure the way of a change to the hosts, in virtual time."""
-    found = [measure for case in CASES for measure in _measure_in_force(case)]
+@base.BENCHMARKS.register("configuration")
+def run() -> list[base.Measurement]:
+    """Measure changes in virtual time, and their bytes and CPU time."""
+    found = [
+        measure for case in CASES for measure in _measure_activation(case)
+    ]
     return found + _measure_costs()
--- a/wisteriawood/bench/control.py
+++ b/wisteriawood/bench/control.py
@@ -1,4 +1,4 @@
-"""What control costs while nothing happens, by slopes over real processes."""
+"""Measures idle costs of the daemons, and costs per worker and host."""
 
 import contextlib
 import dataclasses
@@ -29,26 +29,26 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Idle:
-    """What an idle cluster costs.
+class IdleCost:
+    """Costs of an idle cluster.
 
     Attributes:
-        scheduler_cores: Processor time of the scheduler per second.
-        entry_cores: Processor time of the entry daemon per second.
-        scheduler_bytes: Memory of the scheduler.
-        entry_bytes: Memory of the entry daemon.
-        reads: Reads of the table per second.
-        writes: Writes of the table per second.
-        wire_bytes: Bytes between all processes per second.
+        scheduler_cores: CPU seconds per second of a scheduler.
+        entry_cores: CPU seconds per second of an entry daemon.
+        scheduler_bytes: Resident memory of a scheduler.
+        entry_bytes: Resident memory of an entry daemon.
+        reads_per_s: Reads of the table per second by all daemons.
+        writes_per_s: Writes of the table per second by all daemons.
+        wire_bytes_per_s: Bytes per second on the loopback interface.
     """
 
     scheduler_cores: float
     entry_cores: float
     scheduler_bytes: float
     entry_bytes: float
-    reads: float
-    writes: float
-    wire_bytes: float
+    reads_per_s: float
+    writes_per_s: float
+    wire_bytes_per_s: float
 
 
 def _loopback_bytes() -> int:
@@ -81,12 +81,12 @@
             await cluster.stop()
 
 
-async def measure_idle(*, hosts: int, workers: int) -> Idle:
+async def measure_idle(*, hosts: int, workers: int) -> IdleCost:
     """Measure an idle cluster of one zone.
 
     Args:
-        hosts: Entry hosts.
-        workers: Workers.
+        hosts: Number of entry hosts.
+        workers: Number of workers.
     """
     async with _cluster(hosts, workers) as cluster:
         counts_url = f"{cluster.platform_url}/counts"
@@ -98,89 +98,117 @@
             ]
             for role in holdings.Role
         }
-        counts = await cluster.get(counts_url)
-        wire = _loopback_bytes()
-        cores = {
-            role: sum(map(processes.cpu_s, found))
-            for role, found in pids.items()
+        counts_before = await cluster.get(counts_url)
+        wire_bytes = _loopback_bytes()
+        cpu_before_s = {
+            role: sum(map(processes.cpu_s, role_pids))
+            for role, role_pids in pids.items()
         }
         await anyio.sleep(MEASURE_S)
-        after = await cluster.get(counts_url)
-        used = {
-            role: (sum(map(processes.cpu_s, found)) - cores[role])
+        counts_after = await cluster.get(counts_url)
+        cores = {
+            role: (sum(map(processes.cpu_s, role_pids)) - cpu_before_s[role])
             / (MEASURE_S * hosts)
-            for role, found in pids.items()
+            for role, role_pids in pids.items()
         }
-        held = {
-            role: sum(map(processes.rss_bytes, found)) / hosts
-            for role, found in pids.items()
+        memory_bytes = {
+            role: sum(map(processes.rss_bytes, role_pids)) / hosts
+            for role, role_pids in pids.items()
         }
-        return Idle(
-            scheduler_cores=used[holdings.Role.SCHEDULER],
-            entry_cores=used[holdings.Role.ENTRY],
-            scheduler_bytes=held[holdings.Role.SCHEDULER],
-            entry_bytes=held[holdings.Role.ENTRY],
-            reads=(after["reads"] - counts["reads"]) / MEASURE_S,
-            writes=(after["writes"] - counts["writes"]) / MEASURE_S,
-            wire_bytes=(_loopback_bytes() - wire) / MEASURE_S,
+        return IdleCost(
+            scheduler_cores=cores[holdings.Role.SCHEDULER],
+            entry_cores=cores[holdings.Role.ENTRY],
+            scheduler_bytes=memory_bytes[holdings.Role.SCHEDULER],
+            entry_bytes=memory_bytes[holdings.Role.ENTRY],
+            reads_per_s=(counts_after["reads"] - counts_before["reads"])
+            / MEASURE_S,
+            writes_per_s=(counts_after["writes"] - counts_before["writes"])
+            / MEASURE_S,
+            wire_bytes_per_s=(_loopback_bytes() - wire_bytes) / MEASURE_S,
         )
 
 
-def _slope(few: float, many: float, more: int) -> float:
-    return max(0.0, many - few) / more
+def _slope(fewer: float, more: float, added: int) -> float:
+    return max(0.0, more - fewer) / added
 
 
-async def _run() -> list[base.Measure]:
-    one = await measure_idle(hosts=1, workers=FEW_WORKERS)
-    wide = await measure_idle(hosts=1, workers=MANY_WORKERS)
-    tall = await measure_idle(hosts=MANY_HOSTS, workers=FEW_WORKERS)
+async def _run() -> list[base.Measurement]:
+    baseline = await measure_idle(hosts=1, workers=FEW_WORKERS)
+    more_workers = await measure_idle(hosts=1, workers=MANY_WORKERS)
+    more_hosts = await measure_idle(hosts=MANY_HOSTS, workers=FEW_WORKERS)
     workers = MANY_WORKERS - FEW_WORKERS
     hosts = MANY_HOSTS - 1
     figures = [
-        ("scheduler/processor", 100 * one.scheduler_cores, "% core", 1.6),
-        ("scheduler/memory", one.scheduler_bytes / 10**6, "MB", 64.0),
-        ("entry/processor", 100 * one.entry_cores, "% core", 1.6),
-        ("entry/memory", one.entry_bytes / 10**6, "MB", 64.0),
+        ("scheduler/processor", 100 * baseline.scheduler_cores, "% core", 1.6),
+        ("scheduler/memory", baseline.scheduler_bytes / 10**6, "MB", 64.0),
+        ("entry/processor", 100 * baseline.entry_cores, "% core", 1.6),
+        ("entry/memory", baseline.entry_bytes / 10**6, "MB", 64.0),
         (
             "worker/processor",
-            100 * _slope(one.scheduler_cores, wide.scheduler_cores, workers),
+            100
+            * _slope(
+                baseline.scheduler_cores, more_workers.scheduler_cores, workers
+            ),
             "% core",
             1.6,
         ),
         (
             "worker/memory",
-            _slope(one.scheduler_bytes, wide.scheduler_bytes, workers) / 1000,
+            _slope(
+                baseline.scheduler_bytes, more_workers.scheduler_bytes, workers
+            )
+            / 1000,
             "KB",
             64_000.0,
         ),
         (
             "worker/wire",
-            _slope(one.wire_bytes, wide.wire_bytes, workers) / 1000,
+            _slope(
+                baseline.wire_bytes_per_s,
+                more_workers.wire_bytes_per_s,
+                workers,
+            )
+            / 1000,
             "KB/s",
             5.0,
         ),
         (
             "worker/reads",
-            _slope(one.reads, wide.reads, workers),
+            _slope(baseline.reads_per_s, more_workers.reads_per_s, workers),
+            "1/s",
+            None,
+        ),
+        (
+            "host/reads",
+            _slope(baseline.reads_per_s, more_hosts.reads_per_s, hosts),
+            "1/s",
+            None,
+        ),
+        (
+            "host/writes",
+            _slope(baseline.writes_per_s, more_hosts.writes_per_s, hosts),
             "1/s",
             None,
         ),
-        ("host/reads", _slope(one.reads, tall.reads, hosts), "1/s", None),
-        ("host/writes", _slope(one.writes, tall.writes, hosts), "1/s", None),
         (
             "host/wire",
-            _slope(one.wire_bytes, tall.wire_bytes, hosts) / 1000,
+            _slope(
+                baseline.wire_bytes_per_s, more_hosts.wire_bytes_per_s, hosts
+            )
+            / 1000,
             "KB/s",
             None,
         ),
     ]
     return [
-        base.Measure(name=f"control/{name}", value=v, unit=unit, at_most=most)
-        for name, v, unit, most in figures
+        base.Measurement(
+            name=f"control/{name}", value=value, unit=unit, at_most=at_most
+        )
+        for name, value, unit, at_most in figures
     ]
 
 
-@base.BENCHES.register("control")
-def bench_control() -> list[base.Measure]:
-    """Measure idle daemons, and what a further worker and host cost."""
+@base.BENCHMARKS.register("control")
+def bench_control() -> list[base.Measurement]:
+    """Measure idle daemons, and the cost of one more worker or host."""
     return anyio.run(_run)
--- a/wisteriawood/bench/recovery.py
+++ b/wisteriawood/bench/recovery.py
@@ -1,4 +1,4 @@
-"""Takeover after a scheduler's death, and what starts cost the table."""
+"""Measures the takeover from a dead scheduler, and the cost of starts."""
 
 import gc
 import json
@@ -24,7 +24,7 @@
 from wisteriawood.standins import worlds
 
 ZONE = "linz-a"
-SIZES = (100, 1_000, 10_000)
+TASK_COUNTS = (100, 1_000, 10_000)
 TASKS_PER_WORKER = 50
 WORKERS_PER_RACK = 8
 PLATFORM_DELAY_S = 0.005
@@ -33,14 +33,14 @@
 START_WORKERS = 200
 STEADY_SECONDS = 5
 TEAMS = 20
-SMALL = resources.Resources(cores=0.1, memory_bytes=2**24)
-LARGE = resources.Resources(cores=64.0, memory_bytes=2**38)
-SLOPES = pathlib.Path(__file__).parents[2] / "docs/slopes/tasks.json"
+TASK_NEEDS = resources.Resources(cores=0.1, memory_bytes=2**24)
+WORKER_CAPACITY = resources.Resources(cores=64.0, memory_bytes=2**38)
+SLOPES_PATH = pathlib.Path(__file__).parents[2] / "docs/slopes/tasks.json"
 COMMAND = "python -m wisteriawood.bench recovery"
 
 
-class EndlessWorker(workers.StandinWorker):
-    """A stand-in whose attempts run on without a task of their own."""
+class EndlessStandinWorker(workers.StandinWorker):
+    """A stand-in worker whose attempts never end and need no async task."""
 
     __slots__ = ()
 
@@ -53,7 +53,7 @@
         id=f"task-{number:06d}",
         team=f"team-{number % TEAMS}",
         kind=tasks.TaskKind.BATCH,
-        needs=SMALL,
+        needs=TASK_NEEDS,
         run_s=3600.0,
     )
 
@@ -75,11 +75,11 @@
             zone=ZONE,
             rack=f"rack-{number // WORKERS_PER_RACK}",
             address=f"worker-{number}:1",
-            capacity=LARGE,
+            capacity=WORKER_CAPACITY,
         )
         worker = world.add_worker(host)
-        endless = EndlessWorker(
-            name=host.name, capacity=LARGE, objects=world.platform
+        endless = EndlessStandinWorker(
+            name=host.name, capacity=WORKER_CAPACITY, objects=world.platform
         )
         endless.group = worker.group
         world.workers[host.address] = endless
@@ -87,8 +87,8 @@
 
 
 def _add_scheduler(world: worlds.World, name: str) -> schedulers.Scheduler:
-    far = (f"scheduler/{name}", processes.PLATFORM)
-    world.delays_s[far] = PLATFORM_DELAY_S
+    link = (f"scheduler/{name}", processes.PLATFORM)
+    world.delays_s[link] = PLATFORM_DELAY_S
     return world.add_scheduler(_member(name))
 
 
@@ -97,8 +97,8 @@
     await world.platform.commit(platforms.Transaction(writes=[write]))
 
 
-async def _fill(world: worlds.World, count: int) -> None:
-    """Fill the table and workers with tasks that a dead holder started."""
+async def _add_running_tasks(world: worlds.World, count: int) -> None:
+    """Add tasks to the table and workers, started by a previous holder."""
     for number in range(count):
         place = number // TASKS_PER_WORKER
         task = tasks.Task(
@@ -130,7 +130,9 @@
     ]
 
 
-async def _recover(world: worlds.World, count: int, found: dict) -> None:
+async def _measure_takeover(
+    world: worlds.World, count: int, figures: dict
+) -> None:
     _add_workers(world, -(-count // TASKS_PER_WORKER))
     await anyio.sleep(0.01)
     dead = _add_scheduler(world, "dead")
@@ -140,77 +142,78 @@
     renewals = dead.membership.own.renewals
     while dead.membership.own.renewals == renewals:
         await anyio.sleep(0.01)
-    # Right after a renewal: its term has the longest to go.
+    # Right after a renewal, when the longest part of the term remains.
     await anyio.sleep(0.02)
-    await _fill(world, count)
+    await _add_running_tasks(world, count)
     world.processes["scheduler/dead"].kill()
-    died_at_s = anyio.current_time()
+    killed_at_s = anyio.current_time()
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     while len(_placements(scheduler)) < count:
         await anyio.sleep(0.05)
-    found["seconds"] = anyio.current_time() - died_at_s
+    figures["seconds"] = anyio.current_time() - killed_at_s
     gc.collect()
-    found["bytes"] = tracemalloc.get_traced_memory()[0] - before
+    figures["bytes"] = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    began_s = time.process_time()
+    cpu_before_s = time.process_time()
     await anyio.sleep(STEADY_SECONDS)
-    found["steady_s"] = (time.process_time() - began_s) / STEADY_SECONDS
+    figures["steady_s"] = (time.process_time() - cpu_before_s) / STEADY_SECONDS
 
 
-async def _start_many(world: worlds.World, found: dict) -> None:
+async def _measure_starts(world: worlds.World, figures: dict) -> None:
     _add_workers(world, START_WORKERS)
     await anyio.sleep(0.01)
-    held = [_add_scheduler(world, f"scheduler-{n}") for n in range(3)]
+    replicas = [_add_scheduler(world, f"scheduler-{n}") for n in range(3)]
     await anyio.sleep(5)
     counts = world.platform.counts
     reads, writes = counts.reads, counts.writes
-    began_s = time.process_time()
-    began_at_s = anyio.current_time()
+    cpu_before_s = time.process_time()
+    started_s = anyio.current_time()
     for second in range(START_SECONDS):
         first = second * STARTS_PER_S
         specs = [_spec(first + n) for n in range(STARTS_PER_S)]
         for place in range(0, STARTS_PER_S, 100):
-            part = specs[place : place + 100]
-            await jobs.submit(world.platform, part, zone=ZONE)
+            batch = specs[place : place + 100]
+            await jobs.submit(world.platform, batch, zone=ZONE)
             await anyio.sleep(0.1)
     total = START_SECONDS * STARTS_PER_S
-    while _running(held) < total:
+    while _count_running(replicas) < total:
         await anyio.sleep(0.05)
-    spent_s = anyio.current_time() - began_at_s
+    elapsed_s = anyio.current_time() - started_s
+    # Without the writes of the 10 submissions per second.
     own_writes = counts.writes - writes - 10 * START_SECONDS
-    found["rate"] = total / spent_s
-    found["last_start_s"] = spent_s - START_SECONDS
-    found["writes_per_s"] = own_writes / spent_s
-    found["writes_per_start"] = own_writes / total
-    found["reads_per_start"] = (counts.reads - reads) / total
-    found["cpu_per_start_s"] = (time.process_time() - began_s) / total
+    figures["rate"] = total / elapsed_s
+    figures["last_start_s"] = elapsed_s - START_SECONDS
+    figures["writes_per_s"] = own_writes / elapsed_s
+    figures["writes_per_start"] = own_writes / total
+    figures["reads_per_start"] = (counts.reads - reads) / total
+    figures["cpu_per_start_s"] = (time.process_time() - cpu_before_s) / total
 
 
-def _running(held: list[schedulers.Scheduler]) -> int:
+def _count_running(replicas: list[schedulers.Scheduler]) -> int:
     return sum(
         placement.task.state == tasks.TaskState.RUNNING
-        for scheduler in held
+        for scheduler in replicas
         for placement in _placements(scheduler)
     )
 
 
 def _run(function, *args) -> dict:
-    found: dict[str, float] = {}
+    figures: dict[str, float] = {}
 
     async def _main() -> None:
         async with anyio.create_task_group() as group:
             world = worlds.World(group=group, seed=1)
-            await function(world, *args, found)
+            await function(world, *args, figures)
             group.cancel_scope.cancel()
 
     clock = trio.testing.MockClock(autojump_threshold=0)
     anyio.run(_main, backend="trio", backend_options={"clock": clock})
-    return found
+    return figures
 
 
-def _write_slopes(measures: list[base.Measure]) -> None:
+def _write_slopes(measures: list[base.Measurement]) -> None:
     slopes = [
         {
             "name": measure.name,
@@ -223,26 +226,26 @@
         if "-per-" in measure.name
     ]
     text = json.dumps(slopes, indent=2) + "\n"
-    SLOPES.write_text(text, encoding="utf-8")
+    SLOPES_PATH.write_text(text, encoding="utf-8")
 
 
-@base.BENCHES.register("recovery")
-def measure() -> list[base.Measure]:
-    """Measure takeovers, starts and what they cost."""
+@base.BENCHMARKS.register("recovery")
+def measure() -> list[base.Measurement]:
+    """Measure takeovers, starts and their cost."""
     measures = []
-    found: dict[str, float] = {}
-    for count in SIZES:
-        found = _run(_recover, count)
+    figures: dict[str, float] = {}
+    for count in TASK_COUNTS:
+        figures = _run(_measure_takeover, count)
         measures.append(
-            base.Measure(
+            base.Measurement(
                 name=f"recovery/{count}-tasks/takeover",
-                value=found["seconds"],
+                value=figures["seconds"],
                 unit="s",
                 at_most=10.0,
             )
         )
-    worker_count = SIZES[-1] / TASKS_PER_WORKER
-    starts = _run(_start_many)
+    worker_count = TASK_COUNTS[-1] / TASKS_PER_WORKER
+    starts = _run(_measure_starts)
     for name, value, unit, at_most, at_least in (
         ("rate", starts["rate"], "1/s", None, 900.0),
         ("last-after", starts["last_start_s"], "s", None, None),
@@ -252,15 +255,21 @@
         ("cpu-per-start", starts["cpu_per_start_s"], "s", None, None),
         (
             "cpu-per-worker",
-            found["steady_s"] / worker_count,
+            figures["steady_s"] / worker_count,
             "s/s",
             None,
             None,
         ),
-        ("memory-per-task", found["bytes"] / SIZES[-1], "B", None, None),
+        (
+            "memory-per-task",
+            figures["bytes"] / TASK_COUNTS[-1],
+            "B",
+            None,
+            None,
+        ),
     ):
         measures.append(
-            base.Measure(
+            base.Measurement(
                 name=f"recovery/starts/{name}",
                 value=value,
                 unit=unit,
--- a/wisteriawood/bench/relay.py
+++ b/wisteriawood/bench/relay.py
@@ -1,4 +1,4 @@
-"""An entry host against a bare relay, over real sockets."""
+"""Compares an entry host with a minimal relay, over real sockets."""
 
 import contextlib
 import functools
@@ -35,10 +35,10 @@
 
 
 def make_relay(target_url: str) -> applications.Starlette:
-    """Return a relay that decides nothing.
+    """Return a relay that forwards every request to one target.
 
     Args:
-        target_url: Base address of the one target.
+        target_url: Base URL of the target.
     """
     client = httpx.AsyncClient(base_url=target_url, trust_env=False)
 
@@ -61,21 +61,21 @@
     """Serve the relay until cancelled.
 
     Args:
-        target_url: Base address of the one target.
-        address: Where it listens, as host:port.
+        target_url: Base URL of the target.
+        address: Address on which the relay listens, as host:port.
     """
     await https.serve_until(make_relay(target_url), address, anyio.Event())
 
 
-class Sample(typing.NamedTuple):
-    """What one round of load gave."""
+class LoadSample(typing.NamedTuple):
+    """Throughput and latencies of one round of load."""
 
     per_s: float
     p50_ms: float
     p99_ms: float
 
 
-async def _measure(address: str, path: str) -> Sample:
+async def _measure(address: str, path: str) -> LoadSample:
     load = loads.Load(
         addresses=[address],
         path=path,
@@ -86,8 +86,8 @@
     await load.run(callers_at_once=CALLERS, seconds=ROUND_S)
     await load.aclose()
     p50_ms, p99_ms = load.quantiles_ms(0.5, 0.99)
-    ran = sum(1 for seen in load.seen if seen.is_own)
-    return Sample(per_s=ran / ROUND_S, p50_ms=p50_ms, p99_ms=p99_ms)
+    completed = sum(1 for call in load.seen if call.is_own)
+    return LoadSample(per_s=completed / ROUND_S, p50_ms=p50_ms, p99_ms=p99_ms)
 
 
 @contextlib.asynccontextmanager
@@ -127,7 +127,7 @@
     await jobs.submit(platform, specs, zone=ZONE)
     await platform.aclose()
     await cluster.wait_until_ready(f"{ZONE}-1")
-    # Until the slots of all instances are granted.
+    # Wait until the slots of all instances are granted.
     await anyio.sleep(5.0)
 
 
@@ -137,7 +137,7 @@
     return "http://" + inventory["attempts"][0]["address"]
 
 
-async def _run() -> list[base.Measure]:
+async def _run() -> list[base.Measurement]:
     async with _cluster() as cluster:
         await _start_services(cluster)
         address = f"{clusters.HOST}:{clusters.free_ports(1)[0]}"
@@ -150,39 +150,45 @@
         )
         await anyio.sleep(2.0)
         entry = cluster.pairs[f"{ZONE}-1"].caller_address
-        ours: list[Sample] = []
-        bare: list[Sample] = []
+        entry_samples: list[LoadSample] = []
+        relay_samples: list[LoadSample] = []
         for _round in range(ROUNDS):
-            ours.append(await _measure(entry, f"/{TEAM}/{SERVICE}/x"))
-            bare.append(await _measure(address, "/x"))
+            entry_samples.append(await _measure(entry, f"/{TEAM}/{SERVICE}/x"))
+            relay_samples.append(await _measure(address, "/x"))
         await relay.stop()
-    return _compare(ours, bare)
+    return _compare(entry_samples, relay_samples)
 
 
-def _middle(values: typing.Iterable[float]) -> float:
+def _median(values: typing.Iterable[float]) -> float:
     ordered = sorted(values)
     return ordered[len(ordered) // 2]
 
 
-def _compare(ours: list[Sample], bare: list[Sample]) -> list[base.Measure]:
-    def _figure(name: str, field: str, unit: str) -> list[base.Measure]:
+def _compare(
+    entry_samples: list[LoadSample], relay_samples: list[LoadSample]
+) -> list[base.Measurement]:
+    def _figure(name: str, field: str, unit: str) -> list[base.Measurement]:
         return [
-            base.Measure(
-                name=f"relay/{who}/{name}",
-                value=_middle(getattr(s, field) for s in samples),
+            base.Measurement(
+                name=f"relay/{subject}/{name}",
+                value=_median(getattr(s, field) for s in samples),
                 unit=unit,
             )
-            for who, samples in (("entry", ours), ("bare", bare))
+            for subject, samples in (
+                ("entry", entry_samples),
+                ("bare", relay_samples),
+            )
         ]
 
-    ratio = _middle(
-        one.per_s / other.per_s for one, other in zip(ours, bare, strict=True)
+    ratio = _median(
+        entry.per_s / relay.per_s
+        for entry, relay in zip(entry_samples, relay_samples, strict=True)
     )
     return [
         *_figure("throughput", "per_s", "1/s"),
         *_figure("p50", "p50_ms", "ms"),
         *_figure("p99", "p99_ms", "ms"),
-        base.Measure(
+        base.Measurement(
             name="relay/throughput-ratio",
             value=ratio,
             unit="",
@@ -191,7 +197,7 @@
     ]
 
 
-@base.BENCHES.register("relay")
-def bench_relay() -> list[base.Measure]:
-    """Measure an entry host against a bare relay."""
+@base.BENCHMARKS.register("relay")
+def bench_relay() -> list[base.Measurement]:
+    """Measure an entry host and a minimal relay under the same load."""
     return anyio.run(functools.partial(_run))
--- a/wisteriawood/bench/request_costs.py
+++ b/wisteriawood/bench/request_costs.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of one request's decisions."""
+"""Measures the CPU time and memory that a request costs."""
 
 import time
 import tracemalloc
@@ -14,7 +14,7 @@
 
 
 class InstantLink:
-    """A link to a target that answers at once."""
+    """A link to a target that answers immediately."""
 
     __slots__ = ()
 
@@ -28,14 +28,16 @@
         """Do nothing."""
 
 
-async def decide_s(zone: zone_fakes.FakeZone, *, count: int) -> float:
-    """Return the processor time of one request's decisions, in seconds.
+async def measure_decision_s(
+    zone: zone_fakes.FakeZone, *, count: int
+) -> float:
+    """Return the CPU time of one request's decisions, in seconds.
 
-    Three quarters of the slots are taken meanwhile.
+    Three quarters of the slots are in use during the measurement.
 
     Args:
-        zone: Its entry host decides.
-        count: Number of requests over which to take the mean.
+        zone: Zone whose first entry host is measured.
+        count: Number of requests to average over.
     """
     zone.grant({"0": 1.0})
     service = zone.services[0]
@@ -52,20 +54,22 @@
     )
     started_s = time.process_time()
     for number in range(count):
-        place = number % len(held)
-        service.release(held[place], request, ending)
-        held[place] = await service.acquire(request)
+        index = number % len(held)
+        service.release(held[index], request, ending)
+        held[index] = await service.acquire(request)
     return (time.process_time() - started_s) / count
 
 
-async def dispatch_s(zone: zone_fakes.FakeZone, *, count: int) -> float:
-    """Return the processor time of a whole dispatch, in seconds.
+async def measure_dispatch_s(
+    zone: zone_fakes.FakeZone, *, count: int
+) -> float:
+    """Return the CPU time of a whole dispatch, in seconds.
 
-    The targets answer at once; spans are made and not written.
+    The targets answer immediately. Spans are created but not written.
 
     Args:
-        zone: Its entry host decides.
-        count: Number of requests over which to take the mean.
+        zone: Zone whose first entry host is measured.
+        count: Number of requests to average over.
     """
     zone.grant({"0": 1.0})
     service = zone.services[0]
@@ -87,12 +91,14 @@
     return (time.process_time() - started_s) / count
 
 
-async def waiting_bytes(zone: zone_fakes.FakeZone, *, count: int) -> float:
-    """Return the memory that one more waiting request takes.
+async def measure_waiting_bytes(
+    zone: zone_fakes.FakeZone, *, count: int
+) -> float:
+    """Return the memory that each waiting request uses, in bytes.
 
     Args:
-        zone: Its entry host decides.
-        count: Number of requests over which to take the mean.
+        zone: Zone whose first entry host is measured.
+        count: Number of requests to average over.
     """
     service = zone.services[0]
     async with anyio.create_task_group() as group:
--- a/wisteriawood/bench/requests.py
+++ b/wisteriawood/bench/requests.py
@@ -1,4 +1,4 @@
-"""Benchmark of the requests' path: admission, routing and retries."""
+"""Benchmarks the request path: admission, routing and retries."""
 
 import dataclasses
 import functools
@@ -24,22 +24,22 @@
 )
 LOADS = (0.5, 0.7, 0.85, 0.95)
 BOUND_LOAD = 0.85
-WAVE_LOAD = 0.7
-COUNT = 2000
-WAVE_COUNT = 6000
-SKEW_COUNT = 5000
-SKEW_TARGETS = 5
+SLOWED_LOAD = 0.7
+ARRIVALS = 2000
+SLOWED_ARRIVALS = 6000
+SKEWED_ARRIVALS = 5000
+SKEWED_TARGETS = 5
 SEED = 20
 DEADLINE_S = 5.0
-SLOWED = 3.0
-SLOWED_EACH = 5
-SKEW = (0.7, 0.3)
-OVERLOAD = 2.0
-OVERLOAD_COUNT = 7000
+SLOWDOWN_FACTOR = 3.0
+SLOWED_TARGET_INTERVAL = 5
+SKEWED_ENTRY_WEIGHTS = (0.7, 0.3)
+OVERLOAD_FACTOR = 2.0
+OVERLOAD_ARRIVALS = 7000
 OVERLOAD_DEADLINE_S = 0.25
-COST_COUNT = 2000
-WAITING_COUNT = 500
-COST_TARGETS = (25, 100, 400)
+COST_REQUESTS = 2000
+WAITING_REQUESTS = 500
+COST_TARGET_COUNTS = (25, 100, 400)
 
 
 def run(function: typing.Callable, *args, **kwargs) -> typing.Any:
@@ -47,73 +47,77 @@
     return anyio.run(
         functools.partial(function, *args, **kwargs),
         backend="trio",
-        backend_options={"clock": clocks.JumpClock()},
+        backend_options={"clock": clocks.AutojumpClock()},
     )
 
 
 def ideal_p99_s(
     size: zone_fakes.ZoneSize, arrivals: list[zone_fakes.Arrival]
 ) -> float:
-    """Return the 99th percentile of one ideal queue over all slots.
+    """Return the 99th percentile latency of one ideal queue for all slots.
 
-    It knows of each free slot at once, and holds it for the service only.
+    The queue learns of each free slot without delay, and a request occupies
+    a slot only for its service time, not for the network delay.
 
     Args:
-        size: Sizes of the zone.
-        arrivals: The load.
+        size: Size of the zone.
+        arrivals: Arriving requests.
     """
-    sketch = ddsketch.DDSketch(relative_accuracy=zone_fakes.ACCURACY)
+    sketch = ddsketch.DDSketch(relative_accuracy=zone_fakes.SKETCH_ACCURACY)
     free_s = [0.0] * (size.targets * size.slots)
     for arrival in arrivals:
         start_s = max(arrival.at_s, heapq.heappop(free_s))
-        heapq.heappush(free_s, start_s + arrival.size_s)
-        took_s = start_s + arrival.size_s - arrival.at_s
-        sketch.add(took_s + 2 * size.delay_s)
+        heapq.heappush(free_s, start_s + arrival.service_time_s)
+        latency_s = start_s + arrival.service_time_s - arrival.at_s
+        sketch.add(latency_s + 2 * size.delay_s)
     return sketch.get_quantile_value(0.99)
 
 
-def split_p99_s(
+def strict_turns_p99_s(
     size: zone_fakes.ZoneSize, arrivals: list[zone_fakes.Arrival]
 ) -> float:
-    """Return the 99th percentile of strict turns among disturbed targets.
+    """Return the 99th percentile latency of strict round robin.
 
-    Each request goes to the next target in turn and waits there, whether
-    or not it has a free slot, as a proxy does that knows of no slots.
+    Each request goes to the next target in turn and waits there for a free
+    slot, as with a proxy that knows nothing of slots. The same targets are
+    slowed as by `slow_targets`.
 
     Args:
-        size: Sizes of the zone.
-        arrivals: The load.
+        size: Size of the zone.
+        arrivals: Arriving requests.
     """
-    sketch = ddsketch.DDSketch(relative_accuracy=zone_fakes.ACCURACY)
+    sketch = ddsketch.DDSketch(relative_accuracy=zone_fakes.SKETCH_ACCURACY)
     free_s = [[0.0] * size.slots for _ in range(size.targets)]
     for number, arrival in enumerate(arrivals):
-        turn = number % size.targets
-        slowdown = SLOWED if turn % SLOWED_EACH == 0 else 1.0
-        start_s = max(arrival.at_s, heapq.heappop(free_s[turn]))
-        end_s = start_s + arrival.size_s * slowdown + 2 * size.delay_s
-        heapq.heappush(free_s[turn], end_s)
+        index = number % size.targets
+        slowdown = (
+            SLOWDOWN_FACTOR if index % SLOWED_TARGET_INTERVAL == 0 else 1.0
+        )
+        start_s = max(arrival.at_s, heapq.heappop(free_s[index]))
+        end_s = start_s + arrival.service_time_s * slowdown + 2 * size.delay_s
+        heapq.heappush(free_s[index], end_s)
         sketch.add(end_s - arrival.at_s)
     return sketch.get_quantile_value(0.99)
 
 
-async def disturb(zone: zone_fakes.FakeZone) -> None:
-    """Slow a fifth of the targets threefold."""
-    for number, fake in enumerate(zone.fakes.values()):
-        if number % SLOWED_EACH == 0:
-            fake.slowdown = SLOWED
+async def slow_targets(zone: zone_fakes.FakeZone) -> None:
+    """Slow every fifth target by a factor of 3."""
+    for number, target in enumerate(zone.fake_targets.values()):
+        if number % SLOWED_TARGET_INTERVAL == 0:
+            target.slowdown = SLOWDOWN_FACTOR
 
 
-def load_of(
+def arrivals_at_load(
     size: zone_fakes.ZoneSize,
     load: float,
     *,
-    count: int = COUNT,
+    count: int = ARRIVALS,
     entry_weights: typing.Sequence[float] = (0.5, 0.5),
 ) -> list[zone_fakes.Arrival]:
-    """Return the arrivals of a load, the same at each call.
+    """Return arrivals at a given load, the same on each call.
 
     Args:
-        size: Sizes of the zone.
+        size: Size of the zone.
         load: Load as a share of the capacity.
         count: Number of arrivals.
         entry_weights: Share of the load at each entry host.
@@ -126,140 +130,160 @@
     )
 
 
-def quantiles(
+def summarize(
     name: str, size: zone_fakes.ZoneSize, outcome: zone_fakes.Outcome
-) -> typing.Iterator[base.Measure]:
-    """Yield what a run showed.
+) -> typing.Iterator[base.Measurement]:
+    """Yield latencies, shed share and slot use of a run.
 
     Args:
         name: Name of the run.
-        size: Sizes of the zone.
-        outcome: What the callers saw.
+        size: Size of the zone.
+        outcome: Outcome that the callers observed.
     """
     for label, quantile in (("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)):
-        yield base.Measure(
+        yield base.Measurement(
             name=f"{name}/{label}",
             value=1000 * outcome.quantile_s(quantile),
             unit="ms",
         )
-    refused = outcome.shed / (
+    shed_share = outcome.shed / (
         outcome.answered + outcome.shed + outcome.unknown
     )
-    yield base.Measure(name=f"{name}/shed", value=refused, unit="share")
+    yield base.Measurement(name=f"{name}/shed", value=shed_share, unit="share")
     slots = size.targets * size.slots
-    yield base.Measure(
+    yield base.Measurement(
         name=f"{name}/slot-use",
         value=outcome.busy_s / outcome.last_s / slots,
         unit="share",
     )
 
 
-def measure_loads(size: zone_fakes.ZoneSize) -> typing.Iterator[base.Measure]:
-    """Yield the figures of undisturbed targets at each load."""
+def measure_loads(
+    size: zone_fakes.ZoneSize,
+) -> typing.Iterator[base.Measurement]:
+    """Yield measurements without slowed targets at each load."""
     for load in LOADS:
-        arrivals = load_of(size, load)
+        arrivals = arrivals_at_load(size, load)
         ideal_s = ideal_p99_s(size, arrivals)
         for policy in (routing_base.DEFAULT, "random"):
             name = f"requests/{size.team}/load-{load:.0%}/{policy}"
             zone = zone_fakes.FakeZone(size=size, policy=policy)
             outcome = run(zone.run, arrivals, deadline_s=DEADLINE_S)
-            yield from quantiles(name, size, outcome)
-            is_bound = load == BOUND_LOAD and policy == routing_base.DEFAULT
-            yield base.Measure(
+            yield from summarize(name, size, outcome)
+            has_bound = load == BOUND_LOAD and policy == routing_base.DEFAULT
+            yield base.Measurement(
                 name=f"{name}/p99-over-ideal",
                 value=outcome.quantile_s(0.99) / ideal_s,
                 unit="x",
-                at_most=1.2 if is_bound else None,
+                at_most=1.2 if has_bound else None,
             )
 
 
-def measure_wave(size: zone_fakes.ZoneSize) -> typing.Iterator[base.Measure]:
-    """Yield the figures with a fifth of the targets slowed threefold."""
-    arrivals = load_of(size, WAVE_LOAD, count=WAVE_COUNT)
-    prefix = f"requests/{size.team}/slowed-{WAVE_LOAD:.0%}"
+def measure_slowed(
+    size: zone_fakes.ZoneSize,
+) -> typing.Iterator[base.Measurement]:
+    """Yield measurements with every fifth target slowed by a factor of 3."""
+    arrivals = arrivals_at_load(size, SLOWED_LOAD, count=SLOWED_ARRIVALS)
+    prefix = f"requests/{size.team}/slowed-{SLOWED_LOAD:.0%}"
     p99_s = {}
     for policy in routing_base.ROUTING.names():
         zone = zone_fakes.FakeZone(size=size, policy=policy)
         outcome = run(
-            zone.run, arrivals, deadline_s=DEADLINE_S, disturb=disturb
+            zone.run,
+            arrivals,
+            deadline_s=DEADLINE_S,
+            fault=slow_targets,
         )
         p99_s[policy] = outcome.quantile_s(0.99)
-        yield from quantiles(f"{prefix}/{policy}", size, outcome)
+        yield from summarize(f"{prefix}/{policy}", size, outcome)
     default_s = p99_s[routing_base.DEFAULT]
     ratios = {
         "p99-over-round-robin": p99_s["round-robin"],
-        "p99-over-strict-turns": split_p99_s(size, arrivals),
+        "p99-over-strict-turns": strict_turns_p99_s(size, arrivals),
     }
     for label, other_s in ratios.items():
-        yield base.Measure(
+        yield base.Measurement(
             name=f"{prefix}/{label}",
             value=default_s / other_s,
             unit="x",
             at_most=0.5,
         )
-    yield base.Measure(
+    yield base.Measurement(
         name=f"{prefix}/p99-over-undisturbed-ideal",
         value=default_s / ideal_p99_s(size, arrivals),
         unit="x",
     )
 
 
-def measure_skew(size: zone_fakes.ZoneSize) -> typing.Iterator[base.Measure]:
-    """Yield the figures of a balancer that favours one entry host.
+def measure_skew(
+    size: zone_fakes.ZoneSize,
+) -> typing.Iterator[base.Measurement]:
+    """Yield measurements of a balancer that favours one entry host.
 
-    The zone is smaller, so that the load lasts for many moves of grants.
+    The zone is smaller, so that the load lasts for many updates of grants.
     """
-    size = dataclasses.replace(size, targets=SKEW_TARGETS)
-    arrivals = load_of(size, BOUND_LOAD, count=SKEW_COUNT, entry_weights=SKEW)
-    for is_moving in (True, False):
+    size = dataclasses.replace(size, targets=SKEWED_TARGETS)
+    arrivals = arrivals_at_load(
+        size,
+        BOUND_LOAD,
+        count=SKEWED_ARRIVALS,
+        entry_weights=SKEWED_ENTRY_WEIGHTS,
+    )
+    for is_rebalancing in (True, False):
         zone = zone_fakes.FakeZone(
-            size=size, policy=routing_base.DEFAULT, is_moving=is_moving
+            size=size,
+            policy=routing_base.DEFAULT,
+            is_rebalancing=is_rebalancing,
         )
         outcome = run(zone.run, arrivals, deadline_s=DEADLINE_S)
-        grants = "moving" if is_moving else "fixed"
+        grants = "moving" if is_rebalancing else "fixed"
         name = f"requests/{size.team}/skewed-{BOUND_LOAD:.0%}/{grants}-split"
-        yield from quantiles(name, size, outcome)
+        yield from summarize(name, size, outcome)
 
 
 def measure_overload(
     size: zone_fakes.ZoneSize,
-) -> typing.Iterator[base.Measure]:
-    """Yield the goodput under twice the capacity."""
-    arrivals = load_of(size, OVERLOAD, count=OVERLOAD_COUNT)
+) -> typing.Iterator[base.Measurement]:
+    """Yield measurements at a load of twice the capacity."""
+    arrivals = arrivals_at_load(size, OVERLOAD_FACTOR, count=OVERLOAD_ARRIVALS)
     zone = zone_fakes.FakeZone(size=size, policy=routing_base.DEFAULT)
     outcome = run(zone.run, arrivals, deadline_s=OVERLOAD_DEADLINE_S)
-    capacity = size.capacity_per_s() * (outcome.last_s - outcome.warm_s)
-    name = f"requests/{size.team}/overload-{OVERLOAD:.0%}"
-    yield base.Measure(
+    capacity = size.capacity_per_s() * (outcome.last_s - outcome.warmed_up_s)
+    name = f"requests/{size.team}/overload-{OVERLOAD_FACTOR:.0%}"
+    yield base.Measurement(
         name=f"{name}/goodput",
         value=outcome.good / capacity,
         unit="share",
         at_least=0.95,
     )
-    yield from quantiles(name, size, outcome)
+    yield from summarize(name, size, outcome)
 
 
-def measure_cost() -> typing.Iterator[base.Measure]:
-    """Yield the processor time and memory of a request."""
-    for count in COST_TARGETS:
+def measure_cost() -> typing.Iterator[base.Measurement]:
+    """Yield the CPU time and memory of a request."""
+    for count in COST_TARGET_COUNTS:
         size = dataclasses.replace(SIZES[0], targets=count)
         cost_s = run(
-            request_costs.decide_s, _one_entry(size), count=COST_COUNT
+            request_costs.measure_decision_s,
+            _one_entry(size),
+            count=COST_REQUESTS,
         )
-        yield base.Measure(
+        yield base.Measurement(
             name=f"requests/cost/{count}-targets",
             value=1e6 * cost_s,
             unit="us",
         )
     zone = _one_entry(SIZES[0])
-    cost_s = run(request_costs.dispatch_s, zone, count=COST_COUNT)
-    yield base.Measure(
+    cost_s = run(request_costs.measure_dispatch_s, zone, count=COST_REQUESTS)
+    yield base.Measurement(
         name="requests/cost/dispatch", value=1e6 * cost_s, unit="us"
     )
     zone = _one_entry(SIZES[0])
-    yield base.Measure(
+    yield base.Measurement(
         name="requests/cost/waiting",
-        value=run(request_costs.waiting_bytes, zone, count=WAITING_COUNT),
+        value=run(
+            request_costs.measure_waiting_bytes, zone, count=WAITING_REQUESTS
+        ),
         unit="bytes",
     )
 
@@ -270,15 +294,15 @@
     )
 
 
-@base.BENCHES.register("requests")
-def bench() -> list[base.Measure]:
+@base.BENCHMARKS.register("requests")
+def bench() -> list[base.Measurement]:
     """Measure admission, routing and release of requests."""
     registry.load_modules(routing)
     measures = []
     for size in SIZES:
         for measure in (
             measure_loads,
-            measure_wave,
+            measure_slowed,
             measure_skew,
             measure_overload,
         ):
--- a/wisteriawood/bench/sites.py
+++ b/wisteriawood/bench/sites.py
@@ -1,4 +1,4 @@
-"""Teams' machines and the tasks on them, with slowdowns by pair."""
+"""Workers and workloads of two teams, with slowdowns by pair of classes."""
 
 import dataclasses
 import math
@@ -10,17 +10,17 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class TaskClass:
-    """Tasks that are alike.
+    """Tasks with similar properties.
 
     Attributes:
         name: Name of the class.
-        cores: Cores that one uses, typically.
-        memory_gib: Memory that one uses, typically.
-        run_s: Seconds that one runs alone, typically.
-        aggression: Logarithm of the slowdown that a worker full of them
-            causes, before the pair's own factor.
-        bias: Declared size against the true one; 0 for tenfold either way
-            at random for each task.
+        cores: Typical number of cores that a task uses.
+        memory_gib: Typical memory that a task uses, in GiB.
+        run_s: Typical run time of a task without slowdown, in seconds.
+        aggression: Natural logarithm of the slowdown that a worker full of
+            these tasks causes, before the random factor of the pair.
+        declared_ratio: Declared size divided by the actual size; 0 for a
+            random ratio from 0.1 to 10 for each task.
     """
 
     name: str
@@ -28,25 +28,30 @@
     memory_gib: float
     run_s: float = 0.0
     aggression: float = 0.1
-    bias: float = 1.0
+    declared_ratio: float = 1.0
 
 
 NOISY = TaskClass(
-    name="noisy", cores=4, memory_gib=6, run_s=60, aggression=1.4, bias=0.2
+    name="noisy",
+    cores=4,
+    memory_gib=6,
+    run_s=60,
+    aggression=1.4,
+    declared_ratio=0.2,
 )
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Site:
-    """A team's machines and what runs there.
+    """Workers of a team and the tasks that run on them.
 
     Attributes:
         team: Name of the team.
-        workers: Workers.
-        quota: What the team weighs most.
-        service: Its service.
-        instances: Instances of the service.
-        batch: Its batch jobs.
+        workers: Number of workers.
+        quota: Quota of the team, with the weights of its objectives.
+        service: Class of the service's instances.
+        instances: Number of instances of the service.
+        batch: Classes of batch jobs; the last one is the noisy class.
     """
 
     team: str
@@ -68,14 +73,16 @@
         TaskClass(
             name="images", cores=3, memory_gib=20, run_s=60, aggression=0.5
         ),
-        TaskClass(name="stock", cores=2, memory_gib=4, run_s=40, bias=10),
+        TaskClass(
+            name="stock", cores=2, memory_gib=4, run_s=40, declared_ratio=10
+        ),
         TaskClass(
             name="fit",
             cores=8,
             memory_gib=12,
             run_s=120,
             aggression=0.3,
-            bias=0,
+            declared_ratio=0,
         ),
         NOISY,
     ),
@@ -90,14 +97,16 @@
     instances=25,
     batch=(
         TaskClass(name="bundle", cores=4, memory_gib=12, run_s=120),
-        TaskClass(name="archive", cores=2, memory_gib=24, run_s=60, bias=5),
+        TaskClass(
+            name="archive", cores=2, memory_gib=24, run_s=60, declared_ratio=5
+        ),
         TaskClass(
             name="curve",
             cores=8,
             memory_gib=6,
             run_s=90,
             aggression=0.4,
-            bias=0,
+            declared_ratio=0,
         ),
         TaskClass(
             name="audit",
@@ -105,25 +114,25 @@
             memory_gib=8,
             run_s=50,
             aggression=0.6,
-            bias=10,
+            declared_ratio=10,
         ),
         NOISY,
     ),
 )
 
 
-class Truth:
-    """The slowdowns of pairs, hidden from the policies.
+class TrueSlowdowns:
+    """True slowdowns of each pair of classes, unknown to the policies.
 
     Args:
-        site: Whose classes.
-        rng: Source of random numbers.
+        site: Site whose classes are paired.
+        rng: Random number generator for the factor of each pair.
     """
 
-    __slots__ = ("_pairs",)
+    __slots__ = ("_harms",)
 
     def __init__(self, *, site: Site, rng: random.Random):
-        self._pairs: dict[tuple[str, str], float] = {}
+        self._harms: dict[tuple[str, str], float] = {}
         classes = (site.service, *site.batch)
         for victim in classes:
             for other in classes:
@@ -132,30 +141,33 @@
                     f"{site.team}/{victim.name}",
                     f"{site.team}/{other.name}",
                 )
-                self._pairs[key] = other.aggression * factor
+                self._harms[key] = other.aggression * factor
 
     def harm(self, victim: str, aggressor: str, now_s: float) -> float:
-        """Return the logarithm of the slowdown by a whole worker's load."""
-        return self._pairs[victim, aggressor]
+        """Return the logarithm of the slowdown on a fully loaded worker."""
+        return self._harms[victim, aggressor]
 
     def observe(self, victim: str, neighbours, **measured) -> None:
-        """Learn nothing; all is known."""
+        """Do nothing, as the true slowdowns are known."""
 
     def slowdown(
         self,
         victim: str,
         neighbours: list[interference.Neighbour],
-        busy: float,
+        worker_load: float,
     ) -> float:
-        """Return how much slower a task runs; 1 if it runs alone.
+        """Return the slowdown of a task; 1 if it runs alone.
 
         Args:
             victim: Class of the task.
-            neighbours: Classes beside it.
-            busy: Load of the whole worker; harm grows with it.
+            neighbours: Classes on the same worker.
+            worker_load: Load of the whole worker as a share of its cores;
+                the harm increases with it.
         """
         total = sum(
             self.harm(victim, other.name, 0.0) * other.load
             for other in neighbours
         )
-        return math.exp(total * (0.7 + 0.5 * busy)) * max(1.0, busy)
+        return math.exp(total * (0.7 + 0.5 * worker_load)) * max(
+            1.0, worker_load
+        )
--- a/wisteriawood/bench/slots.py
+++ b/wisteriawood/bench/slots.py
@@ -1,4 +1,4 @@
-"""What slot contracts cost: bytes and processor time."""
+"""Measures the bytes and CPU time of slot contracts."""
 
 import time
 
@@ -20,14 +20,14 @@
 from wisteriawood.telemetry import spans
 from wisteriawood.zones import membership
 
-SIZES = (35, 350)
+TARGET_COUNTS = (35, 350)
 ROUNDS = 200
 REPORTS_PER_S = 1 / slot_clients.REPORT_PERIOD_S
-LIMIT_BYTES_PER_S = 5000.0
+MAX_LINK_BYTES_PER_S = 5000.0
 SLOTS = 8
 
 
-class SilentTarget:
+class UnusedTargetLink:
     """A link to a target that is never called."""
 
     __slots__ = ()
@@ -35,7 +35,7 @@
     async def send(
         self, request: requests.Request, *, timeout_s: float
     ) -> requests.Answer:
-        """Answer at once."""
+        """Return an empty answer."""
         return requests.Answer(request_id=request.id)
 
     async def aclose(self) -> None:
@@ -81,7 +81,7 @@
         counters=metrics.EntryMetrics(),
         tracer=spans.Tracer(service="bench"),
         rng=None,
-        dial_target=lambda *, address, connections: SilentTarget(),
+        dial_target=lambda *, address, connections: UnusedTargetLink(),
     )
     own = _member("s", holdings.Role.SCHEDULER)
     members = membership.Membership(platform=platform, own=own)
@@ -105,7 +105,12 @@
     holder: slot_books.Holder,
     sequence: int,
 ) -> tuple[float, float, int]:
-    """Play one round; return both ends' seconds and all bytes."""
+    """Exchange a report and an update.
+
+    Returns:
+        CPU seconds of the entry host, CPU seconds of the grantor, and bytes
+        of both messages.
+    """
     started_s = time.process_time()
     now_s = anyio.current_time()
     report = cbor.encode(client.report(session, sequence, now_s))
@@ -113,12 +118,12 @@
     update = cbor.encode(grantor.answer(holder, cbor.decode(report)))
     answered_s = time.process_time()
     client.adopt(session, cbor.decode(update), now_s)
-    adopted_s = time.process_time()
-    entry_s = adopted_s - answered_s + reported_s - started_s
+    applied_s = time.process_time()
+    entry_s = applied_s - answered_s + reported_s - started_s
     return entry_s, answered_s - reported_s, len(report) + len(update)
 
 
-async def _measure(size: int) -> list[base.Measure]:
+async def _measure(size: int) -> list[base.Measurement]:
     grantor, client = await _make_pair(size)
     member = _member("e", holdings.Role.ENTRY)
     holder = grantor.open(member)
@@ -130,29 +135,35 @@
         for sequence in range(1, ROUNDS + 4)
     ]
     first_bytes = sum(size_bytes for _e, _g, size_bytes in rounds[:3])
-    quiet = rounds[3:]
-    entry_us = 1e6 * sum(entry_s for entry_s, _g, _b in quiet) / len(quiet)
-    grantor_us = 1e6 * sum(s for _e, s, _b in quiet) / len(quiet)
-    quiet_bytes = sum(size_bytes for _e, _g, size_bytes in quiet) / len(quiet)
+    idle_rounds = rounds[3:]
+    entry_us = (
+        1e6
+        * sum(entry_s for entry_s, _g, _b in idle_rounds)
+        / len(idle_rounds)
+    )
+    grantor_us = 1e6 * sum(s for _e, s, _b in idle_rounds) / len(idle_rounds)
+    idle_bytes = sum(size_bytes for _e, _g, size_bytes in idle_rounds) / len(
+        idle_rounds
+    )
     area = f"slots/{size}-targets"
     return [
-        base.Measure(
+        base.Measurement(
             name=f"{area}/first-grants",
             value=first_bytes / size,
             unit="B/target",
         ),
-        base.Measure(
+        base.Measurement(
             name=f"{area}/quiet-link",
-            value=quiet_bytes * REPORTS_PER_S,
+            value=idle_bytes * REPORTS_PER_S,
             unit="B/s",
-            at_most=LIMIT_BYTES_PER_S,
+            at_most=MAX_LINK_BYTES_PER_S,
         ),
-        base.Measure(
+        base.Measurement(
             name=f"{area}/entry-host",
             value=entry_us * REPORTS_PER_S,
             unit="us/s",
         ),
-        base.Measure(
+        base.Measurement(
             name=f"{area}/grantor",
             value=grantor_us * REPORTS_PER_S,
             unit="us/s",
@@ -160,7 +171,11 @@
     ]
 
 
-@base.BENCHES.register("slots")
-def run() -> list[base.Measure]:
+@base.BENCHMARKS.register("slots")
+def run() -> list[base.Measurement]:
     """Measure one link between an entry host and a grantor."""
-    return [measure for size in SIZES for measure in anyio.run(_measure, size)]
+    return [
+        measure
+        for size in TARGET_COUNTS
+        for measure in anyio.run(_measure, size)
+    ]
--- a/wisteriawood/bench/tasks.py
+++ b/wisteriawood/bench/tasks.py
@@ -1,4 +1,4 @@
-"""How well tasks are placed: harm, work done, evictions and decisions."""
+"""Benchmarks placement: slowdowns, work, evictions and decision times."""
 
 import functools
 import json
@@ -26,37 +26,43 @@
 SECONDS = 400
 SEEDS = (1, 2)
 SITES = (sites.KROUPA, sites.VITRINENKLIMA)
-SIZES = (25, 250, 2_500, 20_000)
+WORKER_COUNTS = (25, 250, 2_500, 20_000)
 DECISIONS = 1_500
 TASKS_PER_WORKER = 6
 URGENT_JOBS = 8
-SLOPES = pathlib.Path(__file__).parents[2] / "docs/slopes/placement.json"
+SLOPES_PATH = pathlib.Path(__file__).parents[2] / "docs/slopes/placement.json"
 COMMAND = "python -m wisteriawood.bench tasks"
 GIB = 2**30
 
 
-def _run(site: sites.Site, seed: int, **policies) -> colocations.Tally:
-    found = colocations.Colocation(site=site, seed=seed, **policies)
+def _run(
+    site: sites.Site, seed: int, **policies
+) -> colocations.SimulationResult:
+    found = colocations.ColocationSimulation(site=site, seed=seed, **policies)
     return found.run(seconds=SECONDS)
 
 
-def _measure_site(site: sites.Site) -> list[base.Measure]:
-    def _all(seeds=SEEDS, **policies) -> list[colocations.Tally]:
+def _measure_site(site: sites.Site) -> list[base.Measurement]:
+    def _run_seeds(
+        seeds=SEEDS, **policies
+    ) -> list[colocations.SimulationResult]:
         return [_run(site, seed, **policies) for seed in seeds]
 
-    oracle = _all(is_oracle=True)
-    own = _all()
-    loaded = _all(placement="least-loaded")
-    first = _all(seeds=SEEDS[:1], placement="first-fit")
+    oracle = _run_seeds(is_oracle=True)
+    least_harm = _run_seeds()
+    least_loaded = _run_seeds(placement="least-loaded")
+    first_fit = _run_seeds(seeds=SEEDS[:1], placement="first-fit")
     measure = functools.partial(_measure, site)
     ratios = [
-        mine.finished_core_s / best.finished_core_s
-        for mine, best in zip(own, oracle, strict=True)
+        actual.finished_core_s / ideal.finished_core_s
+        for actual, ideal in zip(least_harm, oracle, strict=True)
     ]
-    evictions = sum(tally.evictions for tally in own)
-    baseline = sum(tally.evictions for tally in loaded)
+    evictions = sum(result.evictions for result in least_harm)
+    baseline = sum(result.evictions for result in least_loaded)
     measures = [
-        measure("service-p99-slowdown", _worst(own), "times", at_most=1.1),
+        measure(
+            "service-p99-slowdown", _max_p99(least_harm), "times", at_most=1.1
+        ),
         measure("batch-of-oracle", min(ratios), "of it", at_least=0.9),
         measure(
             "evictions-of-least-loaded",
@@ -64,21 +70,26 @@
             "of them",
             at_most=0.5,
         ),
-        measure("memory-counted", _most_counted(own), "of all", at_most=1.0),
-        measure("memory-overruns", _sum("overruns", own), "jobs"),
+        measure(
+            "memory-counted",
+            _max_allocated_share(least_harm),
+            "of all",
+            at_most=1.0,
+        ),
+        measure("memory-overruns", _sum("overruns", least_harm), "jobs"),
     ]
     for name, found in (
         ("oracle", oracle),
-        ("least-harm", own),
-        ("least-loaded", loaded),
-        ("first-fit", first),
+        ("least-harm", least_harm),
+        ("least-loaded", least_loaded),
+        ("first-fit", first_fit),
     ):
-        runs = len(found)
-        work = _sum("finished_core_s", found) / 3600 / runs
-        lost = _sum("lost_core_s", found) / 3600 / runs
-        evicted = _sum("evictions", found) / runs
+        run_count = len(found)
+        work = _sum("finished_core_s", found) / 3600 / run_count
+        lost = _sum("lost_core_s", found) / 3600 / run_count
+        evicted = _sum("evictions", found) / run_count
         measures += [
-            measure(f"{name}/p99-slowdown", _worst(found), "times"),
+            measure(f"{name}/p99-slowdown", _max_p99(found), "times"),
             measure(f"{name}/batch-finished", work, "core-h/run"),
             measure(f"{name}/evictions", evicted, "jobs/run"),
             measure(f"{name}/work-lost", lost, "core-h/run"),
@@ -88,21 +99,21 @@
 
 def _measure(
     site: sites.Site, name: str, value: float, unit: str, **bounds
-) -> base.Measure:
+) -> base.Measurement:
     name = f"tasks/{site.team}/{name}"
-    return base.Measure(name=name, value=value, unit=unit, **bounds)
+    return base.Measurement(name=name, value=value, unit=unit, **bounds)
 
 
-def _worst(tallies: list[colocations.Tally]) -> float:
-    return max(tally.p99() for tally in tallies)
+def _max_p99(results: list[colocations.SimulationResult]) -> float:
+    return max(result.p99_slowdown() for result in results)
 
 
-def _most_counted(tallies: list[colocations.Tally]) -> float:
-    return max(tally.most_counted for tally in tallies)
+def _max_allocated_share(results: list[colocations.SimulationResult]) -> float:
+    return max(result.max_allocated_share for result in results)
 
 
-def _sum(field: str, tallies: list[colocations.Tally]) -> float:
-    return sum(getattr(tally, field) for tally in tallies)
+def _sum(field: str, results: list[colocations.SimulationResult]) -> float:
+    return sum(getattr(result, field) for result in results)
 
 
 def _spec(number: int, rng: random.Random, **fields) -> tasks.TaskSpec:
@@ -146,7 +157,7 @@
 
 
 def _time_decisions(count: int) -> list[float]:
-    """Return the seconds that each of many decisions took, in order."""
+    """Return the durations of many decisions in seconds, sorted."""
     rng = random.Random(count)
     allocator = allocators.Allocator(rng=rng)
     allocator.refresh(_make_workers(count, rng), now_s=0.0)
@@ -165,24 +176,24 @@
     return sorted(taken_s)
 
 
-def _measure_decisions() -> list[base.Measure]:
+def _measure_decisions() -> list[base.Measurement]:
     medians_us = {}
     measures = []
-    for count in SIZES:
+    for count in WORKER_COUNTS:
         taken_s = _time_decisions(count)
         medians_us[count] = taken_s[len(taken_s) // 2] * 1e6
         p99_us = taken_s[int(0.99 * len(taken_s))] * 1e6
         rate = len(taken_s) / sum(taken_s)
         prefix = f"tasks/decisions/{count}-workers"
         measures += [
-            base.Measure(name=f"{prefix}/rate", value=rate, unit="1/s"),
-            base.Measure(
+            base.Measurement(name=f"{prefix}/rate", value=rate, unit="1/s"),
+            base.Measurement(
                 name=f"{prefix}/p99", value=p99_us, unit="us", at_most=20_000
             ),
         ]
-    ratio = medians_us[SIZES[-1]] / medians_us[SIZES[0]]
+    ratio = medians_us[WORKER_COUNTS[-1]] / medians_us[WORKER_COUNTS[0]]
     measures.append(
-        base.Measure(
+        base.Measurement(
             name="tasks/decisions/20000-against-25",
             value=ratio,
             unit="times",
@@ -192,7 +203,7 @@
     return measures
 
 
-def _measure_memory(count: int = 2_500) -> list[base.Measure]:
+def _measure_memory(count: int = 2_500) -> list[base.Measurement]:
     rng = random.Random(1)
     tracemalloc.start()
     found = _make_workers(count, rng)
@@ -203,13 +214,13 @@
     full_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return [
-        base.Measure(
+        base.Measurement(
             name="tasks/memory/index-per-worker",
             value=(full_bytes - empty_bytes) / count,
             unit="bytes",
             at_most=4_096,
         ),
-        base.Measure(
+        base.Measurement(
             name="tasks/memory/placement-per-task",
             value=bare_bytes / (count * TASKS_PER_WORKER),
             unit="bytes",
@@ -218,11 +229,14 @@
     ]
 
 
-async def _urgent_starts_s() -> list[float]:
-    """Return the seconds until each urgent job starts in a full zone."""
+async def _measure_urgent_starts_s() -> list[float]:
+    """Return the seconds from submission to start of each urgent job.
+
+    Batch jobs use the whole zone, so that room must be freed by evictions.
+    """
     async with anyio.create_task_group() as group:
         world = worlds.World(group=group, seed=1)
-        found = _add_machines(world)
+        found = _add_zone(world)
         rng = random.Random(1)
         needs = resources.Resources(cores=15.0, memory_bytes=20 * GIB)
         filling = [
@@ -250,7 +264,7 @@
     return taken_s
 
 
-def _add_machines(world: worlds.World) -> list:
+def _add_zone(world: worlds.World) -> list:
     found = []
     for number in range(4):
         name = f"worker-{number}"
@@ -262,7 +276,7 @@
             capacity=colocations.CAPACITY,
         )
         found.append(world.add_worker(host))
-        # Every call takes as long as the users' zones are apart.
+        # Each message is delayed as between the users' zones.
         world.delays_s["scheduler/linz-a-1", host.address] = 0.003
         world.delays_s[host.address, "scheduler/linz-a-1"] = 0.003
     world.delays_s["scheduler/linz-a-1", processes.PLATFORM] = 0.003
@@ -280,13 +294,15 @@
     return found
 
 
-def _measure_urgent() -> list[base.Measure]:
+def _measure_urgent() -> list[base.Measurement]:
     clock = trio.testing.MockClock(autojump_threshold=0)
     taken_s = anyio.run(
-        _urgent_starts_s, backend="trio", backend_options={"clock": clock}
+        _measure_urgent_starts_s,
+        backend="trio",
+        backend_options={"clock": clock},
     )
     return [
-        base.Measure(
+        base.Measurement(
             name="tasks/urgent-start/longest",
             value=max(taken_s),
             unit="s",
@@ -295,7 +311,7 @@
     ]
 
 
-def _write_slopes(measures: list[base.Measure]) -> None:
+def _write_slopes(measures: list[base.Measurement]) -> None:
     slopes = [
         {
             "name": measure.name,
@@ -311,12 +327,14 @@
         for measure in measures
         if measure.name.startswith(("tasks/decisions", "tasks/memory"))
     ]
-    SLOPES.write_text(json.dumps(slopes, indent=2) + "\n", encoding="utf-8")
+    SLOPES_PATH.write_text(
+        json.dumps(slopes, indent=2) + "\n", encoding="utf-8"
+    )
 
 
-@base.BENCHES.register("tasks")
-def run() -> list[base.Measure]:
-    """Measure placement at the teams' sizes and as workers grow."""
+@base.BENCHMARKS.register("tasks")
+def run() -> list[base.Measurement]:
+    """Measure placement at the teams' sizes and up to 20,000 workers."""
     measures = []
     for site in SITES:
         measures += _measure_site(site)
--- a/wisteriawood/bench/zone_fakes.py
+++ b/wisteriawood/bench/zone_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of the requests' path: targets and callers."""
+"""Fakes for benchmarks of the request path: targets and callers."""
 
 import contextlib
 import dataclasses
@@ -19,21 +19,24 @@
 from wisteriawood.policies.routing import base
 
 TEND_PERIOD_S = 0.1
-WARM_SHARE = 0.25
-ACCURACY = 0.005
+# Share of the arrivals' time span that counts as warm-up.
+WARMUP_SHARE = 0.25
+# Relative accuracy of the quantiles.
+SKETCH_ACCURACY = 0.005
 MEAN_SERVICE_S = 0.02
-SIGMA = 1.0
+# Sigma of the lognormal distribution of service times.
+SERVICE_TIME_SIGMA = 1.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ZoneSize:
-    """Sizes of one team's service in one zone.
+    """Size of one team's service in one zone.
 
     Attributes:
-        team: The team.
+        team: Name of the team.
         targets: Number of targets.
-        slots: Slots of each target.
-        delay_s: Delay between an entry host and a target, one way.
+        slots: Number of slots of each target.
+        delay_s: One-way delay between an entry host and a target.
     """
 
     team: str
@@ -42,55 +45,57 @@
     delay_s: float
 
     def capacity_per_s(self) -> float:
-        """Return the requests a second that all slots can carry."""
-        held_s = MEAN_SERVICE_S + 2 * self.delay_s
-        return self.targets * self.slots / held_s
+        """Return the requests per second that all slots can serve."""
+        slot_time_s = MEAN_SERVICE_S + 2 * self.delay_s
+        return self.targets * self.slots / slot_time_s
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Arrival:
-    """One request of the load.
+    """Arrival of one request.
 
     Attributes:
-        at_s: Time since the start.
-        size_s: Time that an undisturbed target needs.
-        entry: Number of the entry host that the balancer picks.
+        at_s: Time since the start of the run.
+        service_time_s: Service time at a target that is not slowed.
+        entry: Index of the entry host that the balancer chooses.
     """
 
     at_s: float
-    size_s: float
+    service_time_s: float
     entry: int
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Outcome:
-    """What the callers saw.
+    """Outcome of a run, as its callers observed it.
 
     Attributes:
-        sketch: Latencies in seconds of the answers.
-        good: Answers before their deadlines, once warm and until the last
-            arrival.
-        answered: All answers before their deadlines.
-        shed: Requests refused as not-run.
-        unknown: Requests whose outcome is unknown.
-        busy_s: Time that slots were in use at the targets.
-        warm_s: Virtual time from which on good answers count.
+        sketch: Latencies of the answers in seconds.
+        good: Number of answers before their deadlines, from the end of the
+            warm-up until the last arrival.
+        answered: Number of all answers before their deadlines.
+        shed: Number of requests refused as not-run.
+        unknown: Number of requests whose outcome is unknown.
+        busy_s: Total time that slots were in use at the targets.
+        warmed_up_s: Virtual time at which the warm-up ends.
         last_s: Virtual time of the last arrival.
     """
 
     sketch: ddsketch.DDSketch = dataclasses.field(
-        default_factory=lambda: ddsketch.DDSketch(relative_accuracy=ACCURACY)
+        default_factory=lambda: ddsketch.DDSketch(
+            relative_accuracy=SKETCH_ACCURACY
+        )
     )
     good: int = 0
     answered: int = 0
     shed: int = 0
     unknown: int = 0
     busy_s: float = 0.0
-    warm_s: float = 0.0
+    warmed_up_s: float = 0.0
     last_s: float = 0.0
 
     def quantile_s(self, quantile: float) -> float:
-        """Return a quantile of the latencies in seconds."""
+        """Return a quantile of the latencies, in seconds."""
         return self.sketch.get_quantile_value(quantile) or 0.0
 
 
@@ -101,12 +106,12 @@
     seed: int,
     entry_weights: typing.Sequence[float] = (1.0, 1.0),
 ) -> list[Arrival]:
-    """Return arrivals at random times with lognormal sizes.
+    """Return arrivals of a Poisson process with lognormal service times.
 
     Args:
-        rate_per_s: Mean arrivals a second.
+        rate_per_s: Mean number of arrivals per second.
         count: Number of arrivals.
-        seed: Seed of times, sizes and entry hosts.
+        seed: Seed of arrival times, service times and entry hosts.
         entry_weights: Share of the load at each entry host.
     """
     rng = random.Random(seed)
@@ -115,11 +120,13 @@
     arrivals = []
     for _ in range(count):
         at_s += rng.expovariate(rate_per_s)
-        factor = rng.lognormvariate(-SIGMA * SIGMA / 2, SIGMA)
+        factor = rng.lognormvariate(
+            -SERVICE_TIME_SIGMA * SERVICE_TIME_SIGMA / 2, SERVICE_TIME_SIGMA
+        )
         arrivals.append(
             Arrival(
                 at_s=at_s,
-                size_s=MEAN_SERVICE_S * factor,
+                service_time_s=MEAN_SERVICE_S * factor,
                 entry=rng.choices(hosts, entry_weights)[0],
             )
         )
@@ -127,11 +134,11 @@
 
 
 class FakeTarget:
-    """A target with slots, which can be slowed.
+    """A link to a target that can be slowed or frozen.
 
     Args:
-        delay_s: Delay of the link, one way.
-        outcome: Where it counts its busy time.
+        delay_s: One-way delay of the link.
+        outcome: Outcome to which the busy time is added.
     """
 
     __slots__ = ("_delay_s", "_outcome", "is_frozen", "slowdown")
@@ -145,15 +152,15 @@
     async def send(
         self, request: requests.Request, *, timeout_s: float
     ) -> requests.Answer:
-        """Run a request, whose path is its size in seconds."""
+        """Serve a request, whose path is its service time in seconds."""
         if self.is_frozen:
             await anyio.sleep(timeout_s)
             raise errors.RequestUnknownError(reason="no answer in time")
         busy_s = float(request.path) * self.slowdown
         self._outcome.busy_s += busy_s
-        took_s = busy_s + 2 * self._delay_s
-        await anyio.sleep(min(took_s, timeout_s))
-        if took_s > timeout_s:
+        latency_s = busy_s + 2 * self._delay_s
+        await anyio.sleep(min(latency_s, timeout_s))
+        if latency_s > timeout_s:
             raise errors.RequestUnknownError(reason="no answer in time")
         return requests.Answer(request_id=request.id)
 
@@ -161,8 +168,8 @@
         """Do nothing."""
 
 
-class NoTracer:
-    """Stands in for the tracer, so that spans are not measured."""
+class NoOpTracer:
+    """A tracer without spans, so that their cost is not measured."""
 
     __slots__ = ()
 
@@ -177,18 +184,18 @@
     """Entry hosts, a grantor and targets of one service in one zone.
 
     Args:
-        size: Sizes of the zone.
+        size: Size of the zone.
         policy: Name of the routing policy.
         entries: Number of entry hosts.
-        is_moving: Whether grants follow the demand.
-        seed: Seed of the decisions.
+        is_rebalancing: Whether grants follow the demand.
+        seed: Seed of the routing decisions.
     """
 
     __slots__ = (
         "_dispatchers",
-        "_is_moving",
+        "_is_rebalancing",
         "_size",
-        "fakes",
+        "fake_targets",
         "outcome",
         "services",
         "shares",
@@ -200,21 +207,22 @@
         size: ZoneSize,
         policy: str,
         entries: int = 2,
-        is_moving: bool = True,
+        is_rebalancing: bool = True,
         seed: int = 1,
     ):
         rng = random.Random(seed)
         self.outcome = Outcome()
         self._size = size
-        self._is_moving = is_moving
-        self.fakes = {
+        self._is_rebalancing = is_rebalancing
+        self.fake_targets = {
             f"target-{number:03d}": FakeTarget(
                 delay_s=size.delay_s, outcome=self.outcome
             )
             for number in range(size.targets)
         }
         self.shares = {
-            name: shares.TargetShares(target=name) for name in self.fakes
+            name: shares.TargetShares(target=name)
+            for name in self.fake_targets
         }
         self.services = [
             services.Service(
@@ -228,12 +236,12 @@
         self._dispatchers = [
             dispatchers.Dispatcher(
                 services={(size.team, "service"): service},
-                tracer=NoTracer(),
+                tracer=NoOpTracer(),
             )
             for service in self.services
         ]
         for holder, service in enumerate(self.services):
-            for name, fake in self.fakes.items():
+            for name, fake in self.fake_targets.items():
                 grant = grants.SlotGrant(
                     target=name,
                     address=name,
@@ -249,55 +257,58 @@
         """Grant the slots in proportion to demand, as a grantor does.
 
         Args:
-            demand: Demand of each entry host, by its number as text.
+            demand: Demand in slots, by index of the entry host as text.
         """
-        for name, counted in self.shares.items():
+        for name, target_shares in self.shares.items():
             fair = shares.divide(
                 target=name, slots=self._size.slots, demand=demand
             )
             for holder, service in enumerate(self.services):
                 target = service.targets[name]
-                share = counted.share(str(holder))
+                share = target_shares.share(str(holder))
                 share.held = target.holding().slots
-                target.grant.slots = counted.allot(
+                target.grant.slots = target_shares.allot(
                     holder=str(holder),
                     fair=fair[str(holder)],
-                    free=self._size.slots - counted.counted(),
+                    free=self._size.slots - target_shares.counted(),
                 )
 
-    async def _move_grants(self) -> None:
+    async def _update_grants(self) -> None:
         demand: dict[str, float] = {}
         while True:
             await anyio.sleep(slot_clients.REPORT_PERIOD_S)
             for holder, service in enumerate(self.services):
                 in_flight = sum(t.in_flight for t in service.targets.values())
-                now = float(in_flight + service.waiting)
-                kept = slot_clients.DEMAND_KEPT * demand.get(str(holder), 0.0)
-                demand[str(holder)] = max(now, kept)
+                current = float(in_flight + service.waiting)
+                decayed = slot_clients.DEMAND_KEPT * demand.get(
+                    str(holder), 0.0
+                )
+                demand[str(holder)] = max(current, decayed)
             self.grant(demand)
             for service in self.services:
                 service.wake()
 
     async def run(
-        self, arrivals: list[Arrival], *, deadline_s: float, disturb=None
+        self, arrivals: list[Arrival], *, deadline_s: float, fault=None
     ) -> Outcome:
-        """Send all arrivals and return what the callers saw.
+        """Send a request at each arrival and return the outcome.
 
         Args:
-            arrivals: The load.
+            arrivals: Arriving requests.
             deadline_s: Seconds from each arrival to its deadline.
-            disturb: Task that slows or freezes targets; None for none.
+            fault: Async function that slows or freezes targets; None for
+                no fault.
         """
         start_s = anyio.current_time()
         self.grant({str(h): 1.0 for h in range(len(self.services))})
         self.outcome.last_s = start_s + arrivals[-1].at_s
-        self.outcome.warm_s = start_s + WARM_SHARE * arrivals[-1].at_s
-        async with anyio.create_task_group() as keepers:
-            keepers.start_soon(self._tend)
-            if self._is_moving:
-                keepers.start_soon(self._move_grants)
-            if disturb:
-                keepers.start_soon(disturb, self)
+        self.outcome.warmed_up_s = start_s + WARMUP_SHARE * arrivals[-1].at_s
+        async with anyio.create_task_group() as background:
+            background.start_soon(self._run_ticks)
+            if self._is_rebalancing:
+                background.start_soon(self._update_grants)
+            if fault:
+                background.start_soon(fault, self)
             async with anyio.create_task_group() as callers:
                 for number, arrival in enumerate(arrivals):
                     due_s = start_s + arrival.at_s
@@ -305,7 +316,7 @@
                     callers.start_soon(
                         self._call, number, arrival, due_s + deadline_s
                     )
-            keepers.cancel_scope.cancel()
+            background.cancel_scope.cancel()
         return self.outcome
 
     async def _call(
@@ -315,10 +326,10 @@
             id=str(number),
             team=self._size.team,
             service="service",
-            path=str(arrival.size_s),
+            path=str(arrival.service_time_s),
             deadline_s=deadline_s,
         )
-        came_s = anyio.current_time()
+        started_s = anyio.current_time()
         try:
             await self._dispatchers[arrival.entry].dispatch(request)
         except errors.RequestNotRunError:
@@ -329,10 +340,12 @@
             return
         now_s = anyio.current_time()
         self.outcome.answered += 1
-        self.outcome.good += self.outcome.warm_s < now_s <= self.outcome.last_s
-        self.outcome.sketch.add(now_s - came_s)
+        self.outcome.good += (
+            self.outcome.warmed_up_s < now_s <= self.outcome.last_s
+        )
+        self.outcome.sketch.add(now_s - started_s)
 
-    async def _tend(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             await anyio.sleep(TEND_PERIOD_S)
             now_s = anyio.current_time()
--- a/wisteriawood/tests/bench_tests.py
+++ b/wisteriawood/tests/bench_tests.py
@@ -15,7 +15,7 @@
 
     def test_urgent_work_starts_within_its_bound(self):
         (measure,) = tasks._measure_urgent()
-        self.assertTrue(measure.is_met(), f"{measure.value} s")
+        self.assertTrue(measure.is_within_bounds(), f"{measure.value} s")
 
     def test_grantor_and_entry_host_can_be_measured(self):
         _grantor, client = anyio.run(slots._make_pair, 2)
@@ -33,5 +33,5 @@
                 "slots",
                 "tasks",
             ],
-            base.BENCHES.names(),
+            base.BENCHMARKS.names(),
         )
--- a/wisteriawood/tests/invariants.py
+++ b/wisteriawood/tests/invariants.py
@@ -8,7 +8,7 @@
 NEVER_S = float("inf")
 
 
-def _runs(world):
+def _records(world):
     """Yield each worker's name with each of its records."""
     for worker in world.workers.values():
         for record in worker.records:
@@ -23,7 +23,7 @@
     """Return attempts of one task that ran at the same time."""
     found = []
     by_task = {}
-    for worker, record in _runs(world):
+    for worker, record in _records(world):
         by_task.setdefault(record.task, []).append((worker, record))
     for task_id, runs in by_task.items():
         runs.sort(key=lambda run: run[1].started_s)
@@ -48,7 +48,7 @@
             changes.append((record.started_s, 1, record))
             changes.append((_stopped_s(record), 0, record))
         used = resources.NOTHING
-        for at_s, is_start, record in sorted(
+        for time_s, is_start, record in sorted(
             changes, key=lambda change: change[:2]
         ):
             if not is_start:
@@ -56,7 +56,7 @@
                 continue
             used = used + record.needs
             if not used.fits(worker.capacity):
-                found.append(f"{worker.name} at {at_s:.1f}: {used}")
+                found.append(f"{worker.name} at {time_s:.1f}: {used}")
     return found
 
 
@@ -64,7 +64,7 @@
     """Return evicted attempts that did not resume from their checkpoint."""
     found = []
     by_task = {}
-    for _worker, record in _runs(world):
+    for _worker, record in _records(world):
         by_task.setdefault(record.task, []).append(record)
     for task_id, records in by_task.items():
         records.sort(key=lambda record: record.attempt)
@@ -78,26 +78,26 @@
     return found
 
 
-def find_lost(world, task_ids):
+def find_row_errors(world, task_ids):
     """Return accepted tasks that do not have exactly one row."""
     found = []
     table = world.platform.table
     for task_id in task_ids:
-        kept = [
+        task_keys = [
             key
             for key in table
             if key.split("/")[0] in ("pending", "placed", "ended")
             and key.rsplit("/", 1)[1] == task_id
         ]
         pointer = table.get(keys.pointer(task_id))
-        if len(kept) != 1 or pointer is None:
-            found.append(f"{task_id}: rows {kept}")
-        elif pointer.value["key"] != kept[0]:
+        if len(task_keys) != 1 or pointer is None:
+            found.append(f"{task_id}: rows {task_keys}")
+        elif pointer.value["key"] != task_keys[0]:
             found.append(f"{task_id}: pointer to {pointer.value['key']}")
     return found
 
 
-def find_revived(world, cancelled):
+def find_runs_after_cancel(world, cancelled):
     """Return cancelled tasks that run, or that began after their end.
 
     Args:
@@ -105,14 +105,14 @@
         cancelled: Monotonic time of the accepted cancel by task id.
     """
     found = []
-    for task_id, at_s in cancelled.items():
-        for worker, record in _runs(world):
+    for task_id, time_s in cancelled.items():
+        for worker, record in _records(world):
             if record.task != task_id:
                 continue
             if not record.end:
                 found.append(f"{task_id} still runs on {worker.name}")
             # A start command may have been on its way at that time.
-            if record.started_s > at_s + 10.0:
+            if record.started_s > time_s + 10.0:
                 found.append(f"{task_id} began at {record.started_s:.1f}")
     return found
 
@@ -137,7 +137,7 @@
     for task_id in task_ids:
         row = world.platform.table.get(keys.ended(task_id))
         last = row.value["attempt"] if row else NEVER_S
-        for worker, record in _runs(world):
+        for worker, record in _records(world):
             if record.task == task_id and record.attempt > last:
                 found.append(f"{task_id}: attempt {record.attempt}")
     return found
@@ -147,7 +147,7 @@
     """Return tasks of which more than one attempt finished."""
     finished = [
         record.task
-        for _worker, record in _runs(world)
+        for _worker, record in _records(world)
         if record.end == "finished"
     ]
     return sorted({name for name in finished if finished.count(name) > 1})
@@ -165,7 +165,7 @@
         *find_overlaps(world),
         *find_overloads(world),
         *find_wrong_resumes(world),
-        *find_lost(world, task_ids),
-        *find_revived(world, cancelled),
+        *find_row_errors(world, task_ids),
+        *find_runs_after_cancel(world, cancelled),
         *find_runs_after_end(world, task_ids),
     ]
