--- a/wisteriawood/bench/colocations.py
+++ b/wisteriawood/bench/colocations.py
@@ -98,7 +98,7 @@
     max_allocated_share: float = 0.0
 
     def p99_slowdown(self) -> float:
-        """Return the 99th percentile of the slowdowns."""
+        """Return the 99th percentile slowdown, which 1% of them exceed."""
         found = sorted(self.slowdowns)
         return found[int(0.99 * len(found))]
 
--- a/wisteriawood/bench/recovery.py
+++ b/wisteriawood/bench/recovery.py
@@ -100,15 +100,15 @@
 async def _add_running_tasks(world: worlds.World, count: int) -> None:
     """Add tasks to the table and workers, started by a previous holder."""
     for number in range(count):
-        place = number // TASKS_PER_WORKER
+        worker_number = number // TASKS_PER_WORKER
         task = tasks.Task(
             spec=_spec(number),
             zone=ZONE,
             state=tasks.TaskState.RUNNING,
             attempt=1,
-            rack=f"rack-{place // WORKERS_PER_RACK}",
-            worker=f"worker-{place}",
-            worker_address=f"worker-{place}:1",
+            rack=f"rack-{worker_number // WORKERS_PER_RACK}",
+            worker=f"worker-{worker_number}",
+            worker_address=f"worker-{worker_number}:1",
             epoch=1,
         )
         key = keys.placed(ZONE, task.rack, task.spec.id)
@@ -173,8 +173,8 @@
     for second in range(START_SECONDS):
         first = second * STARTS_PER_S
         specs = [_spec(first + n) for n in range(STARTS_PER_S)]
-        for place in range(0, STARTS_PER_S, 100):
-            batch = specs[place : place + 100]
+        for offset in range(0, STARTS_PER_S, 100):
+            batch = specs[offset : offset + 100]
             await jobs.submit(world.platform, batch, zone=ZONE)
             await anyio.sleep(0.1)
     total = START_SECONDS * STARTS_PER_S
--- a/wisteriawood/bench/tasks.py
+++ b/wisteriawood/bench/tasks.py
@@ -38,8 +38,10 @@
 def _run(
     site: sites.Site, seed: int, **policies
 ) -> colocations.SimulationResult:
-    found = colocations.ColocationSimulation(site=site, seed=seed, **policies)
-    return found.run(seconds=SECONDS)
+    simulation = colocations.ColocationSimulation(
+        site=site, seed=seed, **policies
+    )
+    return simulation.run(seconds=SECONDS)
 
 
 def _measure_site(site: sites.Site) -> list[base.Measurement]:
@@ -161,29 +163,29 @@
     rng = random.Random(count)
     allocator = allocators.Allocator(rng=rng)
     allocator.refresh(_make_workers(count, rng), now_s=0.0)
-    taken_s = []
+    durations_s = []
     for number in range(DECISIONS):
         spec = _spec(10_000_000 + number, rng, urgent=True)
         task = tasks.Task(spec=spec, zone="zone")
         allocator.queue.add(task, version=1, now_s=0.0)
         started_s = time.perf_counter()
         starts = allocator.place(now_s=0.0)
-        taken_s.append(time.perf_counter() - started_s)
+        durations_s.append(time.perf_counter() - started_s)
         for start in starts:
             start.worker.remove(spec.id)
             allocator.index.update(start.worker)
         allocator.withdraw(spec.id)
-    return sorted(taken_s)
+    return sorted(durations_s)
 
 
 def _measure_decisions() -> list[base.Measurement]:
     medians_us = {}
     measures = []
     for count in WORKER_COUNTS:
-        taken_s = _time_decisions(count)
-        medians_us[count] = taken_s[len(taken_s) // 2] * 1e6
-        p99_us = taken_s[int(0.99 * len(taken_s))] * 1e6
-        rate = len(taken_s) / sum(taken_s)
+        durations_s = _time_decisions(count)
+        medians_us[count] = durations_s[len(durations_s) // 2] * 1e6
+        p99_us = durations_s[int(0.99 * len(durations_s))] * 1e6
+        rate = len(durations_s) / sum(durations_s)
         prefix = f"tasks/decisions/{count}-workers"
         measures += [
             base.Measurement(name=f"{prefix}/rate", value=rate, unit="1/s"),
@@ -232,20 +234,20 @@
 async def _measure_urgent_starts_s() -> list[float]:
     """Return the seconds from submission to start of each urgent job.
 
-    Batch jobs use the whole zone, so that room must be freed by evictions.
+    Batch jobs fill the zone, so that each start requires an eviction.
     """
     async with anyio.create_task_group() as group:
         world = worlds.World(group=group, seed=1)
         found = _add_zone(world)
         rng = random.Random(1)
         needs = resources.Resources(cores=15.0, memory_bytes=20 * GIB)
-        filling = [
+        batch_specs = [
             _spec(number, rng, needs=needs, run_s=3600.0)
             for number in range(24)
         ]
-        await jobs.submit(world.platform, filling, zone="linz-a")
+        await jobs.submit(world.platform, batch_specs, zone="linz-a")
         await anyio.sleep(60.0)
-        taken_s = []
+        durations_s = []
         for number in range(URGENT_JOBS):
             await anyio.sleep(5.0 + rng.random())
             spec = _spec(100 + number, rng, needs=needs, run_s=3600.0)
@@ -259,9 +261,9 @@
                 for record in worker.records
                 if record.task == spec.id
             ]
-            taken_s.append(min(started_s, default=1e9) - submitted_s)
+            durations_s.append(min(started_s, default=1e9) - submitted_s)
         group.cancel_scope.cancel()
-    return taken_s
+    return durations_s
 
 
 def _add_zone(world: worlds.World) -> list:
@@ -296,7 +298,7 @@
 
 def _measure_urgent() -> list[base.Measurement]:
     clock = trio.testing.MockClock(autojump_threshold=0)
-    taken_s = anyio.run(
+    durations_s = anyio.run(
         _measure_urgent_starts_s,
         backend="trio",
         backend_options={"clock": clock},
@@ -304,7 +306,7 @@
     return [
         base.Measurement(
             name="tasks/urgent-start/longest",
-            value=max(taken_s),
+            value=max(durations_s),
             unit="s",
             at_most=1.6,
         )
--- a/wisteriawood/tests/__main__.py
+++ b/wisteriawood/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Runs everything that CI runs and prints one verdict."""
+"""Runs the linters and all test modules as CI does, and reports totals."""
 
 import functools
 import json
@@ -12,13 +12,13 @@
 ROOT = pathlib.Path(__file__).parents[2]
 PACKAGE = ROOT / "wisteriawood"
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-AT_ONCE = 4
-# The order of sets of strings is the same on each run.
+MAX_CONCURRENT_MODULES = 4
+# A fixed hash seed makes the order of sets of strings repeatable.
 ENVIRONMENT = os.environ | {"PYTHONHASHSEED": "1"}
 
 
-class Verdict:
-    """What the checks and the test modules gave so far."""
+class Results:
+    """Results of the checks and test modules that have run so far."""
 
     __slots__ = ("failed", "passed")
 
@@ -26,9 +26,9 @@
         self.failed = []
         self.passed = 0
 
-    def add(self, name, is_good):
-        """Record one check."""
-        if is_good:
+    def add(self, name, has_passed):
+        """Record the result of one check."""
+        if has_passed:
             self.passed += 1
         else:
             self.failed.append(name)
@@ -55,19 +55,19 @@
     )
 
 
-async def _check(verdict, *arguments):
-    done = await _run(*arguments)
-    is_good = done.returncode == 0
-    print(f"{arguments[0]}: {'passed' if is_good else 'FAILED'}")
-    if not is_good:
-        print(done.stdout.decode())
-    verdict.add(arguments[0], is_good)
+async def _check(results, *arguments):
+    process = await _run(*arguments)
+    has_passed = process.returncode == 0
+    print(f"{arguments[0]}: {'passed' if has_passed else 'FAILED'}")
+    if not has_passed:
+        print(process.stdout.decode())
+    results.add(arguments[0], has_passed)
 
 
-async def _run_module(verdict, limiter, name):
+async def _run_module(results, limiter, name):
     async with limiter:
-        done = await _run("wisteriawood.tests.module", name)
-    text, _newline, last = done.stdout.decode().rstrip().rpartition("\n")
+        process = await _run("wisteriawood.tests.module", name)
+    text, _newline, last = process.stdout.decode().rstrip().rpartition("\n")
     try:
         result = json.loads(last)
     except json.JSONDecodeError:
@@ -76,13 +76,13 @@
     print(f"{name}: {result['ran']} run, {len(result['failed'])} failed")
     if result["failed"]:
         print(text)
-    verdict.passed += result["ran"] - len(result["failed"])
-    verdict.failed.extend(result["failed"])
+    results.passed += result["ran"] - len(result["failed"])
+    results.failed.extend(result["failed"])
 
 
 def _modules():
     paths = sorted((PACKAGE / "tests").rglob("*_tests.py"))
-    # The slow ones start first.
+    # The modules in faults/ are slow, so they start first.
     paths.sort(key=lambda path: "faults" not in path.parts)
     return [
         ".".join(path.relative_to(ROOT).with_suffix("").parts)
@@ -90,25 +90,25 @@
     ]
 
 
-async def _run_all(verdict):
-    await _check(verdict, "black", "--check", "-q", str(PACKAGE))
-    await _check(verdict, "flake8", str(PACKAGE))
-    limiter = anyio.CapacityLimiter(AT_ONCE)
+async def _run_all(results):
+    await _check(results, "black", "--check", "-q", str(PACKAGE))
+    await _check(results, "flake8", str(PACKAGE))
+    limiter = anyio.CapacityLimiter(MAX_CONCURRENT_MODULES)
     async with anyio.create_task_group() as group:
         for name in _modules():
-            group.start_soon(_run_module, verdict, limiter, name)
+            group.start_soon(_run_module, results, limiter, name)
 
 
 def main():
     """Run the checks and return the exit status."""
-    verdict = Verdict()
-    anyio.run(functools.partial(_run_all, verdict))
+    results = Results()
+    anyio.run(functools.partial(_run_all, results))
     known = _known_red()
-    red = [name for name in verdict.failed if name not in known]
-    for name in sorted(verdict.failed):
+    unexpected = [name for name in results.failed if name not in known]
+    for name in sorted(results.failed):
         print(f"{'known red' if name in known else 'FAILED'}: {name}")
-    print(f"{verdict.passed} passed, {len(red)} failed")
-    return 1 if red or not verdict.passed else 0
+    print(f"{results.passed} passed, {len(unexpected)} failed")
+    return 1 if unexpected or not results.passed else 0
 
 
 if __name__ == "__main__":
--- a/wisteriawood/tests/bench_tests.py
+++ b/wisteriawood/tests/bench_tests.py
@@ -1,4 +1,4 @@
-"""The benchmarks run; those in virtual time keep their bounds."""
+"""Tests of the registry of benchmarks and of the quick measurements."""
 
 import unittest
 
--- a/wisteriawood/tests/builders.py
+++ b/wisteriawood/tests/builders.py
@@ -48,8 +48,8 @@
 UnknownError = (errors.RequestUnknownError, TimeoutError)
 
 
-# Trio shuffles tasks that are ready at once; the same order on each run
-# gives the same verdict on each run.
+# Trio shuffles the tasks that are ready in the same pass. A fixed order
+# makes the test results repeatable.
 trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
 
 
@@ -90,14 +90,14 @@
 
 
 def make_resources(*, cores=1.0, memory_bytes=GIB, accelerators=0):
-    """Return resources."""
+    """Return the resources of a task or worker."""
     return resources.Resources(
         cores=cores, memory_bytes=memory_bytes, accelerators=accelerators
     )
 
 
 def make_spec(*, id="task-1", kind=tasks.TaskKind.BATCH, **fields):
-    """Return what an operator submits."""
+    """Return a task specification as an operator submits it."""
     values = {"team": "vitrinenklima", "needs": make_resources()}
     if kind == tasks.TaskKind.BATCH:
         values["run_s"] = 10.0
@@ -156,7 +156,7 @@
 
 
 def make_configuration(*, deadline_ms=500, **fields):
-    """Return a document of the configuration with both teams."""
+    """Return a configuration document with both teams."""
     shop = {"deadline_ms": deadline_ms, "request_class": "repeatable"}
     shop.update(fields)
     return {
@@ -171,7 +171,7 @@
 
 
 def add_entries(world, names, **fields):
-    """Add entry hosts whose names are ZONE-NUMBER; return them by name."""
+    """Add entry hosts named ZONE-NUMBER and return them by name."""
     return {
         name: world.add_entry(
             make_member(
@@ -186,7 +186,7 @@
 
 
 class FakeLink:
-    """A link to a target; its switches say how it answers."""
+    """A link to a target, whose attributes determine how it answers."""
 
     __slots__ = (
         "is_frozen",
@@ -206,7 +206,7 @@
         self.status = 200
 
     async def send(self, request, *, timeout_s):
-        """Answer, refuse or stay silent."""
+        """Answer, refuse or time out."""
         if self.refuses:
             self.refusals += 1
             raise errors.RequestNotRunError(reason="refused")
@@ -222,7 +222,7 @@
 
 
 def make_target(*, id="target-1", slots=8, link=None):
-    """Return a target as an entry host sees it."""
+    """Return a target as an entry host represents it."""
     grant = grants.SlotGrant(
         target=id,
         address=f"{id}:1",
@@ -236,7 +236,7 @@
 
 
 def make_service(*, targets=(), policy="least-in-flight", **fields):
-    """Return a service with its targets."""
+    """Return a service of an entry host with its targets."""
     registry.load_modules(routing)
     rng = make_rng()
     service = services.Service(
@@ -259,17 +259,17 @@
 
 
 def make_room(*, weights=None, **fields):
-    """Return places for waiting requests."""
+    """Return the queues of waiting requests of an entry host."""
     return waiting_rooms.WaitingRoom(weights=weights, **fields)
 
 
 def make_rng():
-    """Return a source of random numbers that repeats itself."""
+    """Return a random number generator with a fixed seed."""
     return random.Random(1)
 
 
 def make_worker(*, name="worker-1", rack="rack-1", link=None, **fields):
-    """Return a worker as its scheduler sees it, known and empty."""
+    """Return a connected worker without tasks, as in its scheduler."""
     values = {
         "address": f"{name}:1",
         "capacity": make_resources(cores=64.0, memory_bytes=250 * GIB),
@@ -281,7 +281,7 @@
 
 
 def make_workers(count, *, rack_size=8, **fields):
-    """Return workers in racks."""
+    """Return workers spread over racks of a given size."""
     return [
         make_worker(
             name=f"worker-{number}",
@@ -293,20 +293,20 @@
 
 
 def make_allocator(found=(), *, seed=1, **fields):
-    """Return an allocator that knows some workers."""
+    """Return an allocator with some workers in its index."""
     allocator = allocators.Allocator(rng=random.Random(seed), **fields)
     allocator.refresh(found, now_s=0.0)
     return allocator
 
 
 def enqueue(allocator, spec, *, now_s=0.0):
-    """Let a task wait and return its entry in the queue."""
+    """Add a task to the queue and return its queue entry."""
     task = tasks.Task(spec=spec, zone="linz-a")
     return allocator.queue.add(task, version=1, now_s=now_s)
 
 
 def place_on(worker, spec, *, counted=None):
-    """Put a running task on a worker and return its placement."""
+    """Add a running task to a worker and return its placement."""
     placement = workers.Placement(
         task=tasks.Task(
             spec=spec, zone="linz-a", state=tasks.TaskState.RUNNING
@@ -320,7 +320,7 @@
 
 
 def make_usage(spec, *, speed=1.0, measured_s=0.0, used=None):
-    """Return a usage report of a task."""
+    """Return the usage report of a task's first attempt."""
     return worker_links.UsageReport(
         task=spec.id,
         attempt=1,
@@ -338,12 +338,12 @@
 
 
 async def pause(time_s):
-    """Let virtual time pass."""
+    """Sleep for a span of virtual time, in seconds."""
     await anyio.sleep(time_s)
 
 
 def make_run_worker(name, *, cores=16, now_s=0.0):
-    """Return a worker that answers its cell's holder."""
+    """Return a worker of a cell that has answered at `now_s`."""
     worker = run_workers.Worker(
         registration=runners.Registration(
             worker_id=name,
@@ -363,7 +363,7 @@
 
 
 def make_cell(fleet=()):
-    """Return a cell with some workers, whose orders go nowhere."""
+    """Return a cell with some workers; its commands are not sent."""
     claim = claims.Claim(
         cell="shop@a",
         row=claims.ClaimRow(holder="host", incarnation="i", epoch=1),
@@ -395,14 +395,14 @@
 
 
 def make_serving_job(job_id="s", *, image="serves", **fields):
-    """Return a standing job whose tasks have a bound of 10 ms."""
+    """Return a long-running job with a tail-latency target of 10 ms."""
     return make_job(
         job_id, is_standing=True, tail_target_ms=10.0, image=image, **fields
     )
 
 
 def put_run(worker, job, *, index=0, now_s=0.0, strain=0.0):
-    """Put a started run of a job's task on a worker."""
+    """Add a confirmed run of a job's task to a worker and return it."""
     task = job.occurrences[0][0][index]
     task.assign(worker_id=worker.id, run=task.run + 1)
     run = runs.Run(job=job, task=task, assigned_at_s=now_s)
@@ -417,11 +417,11 @@
 
 
 def teach(book, serving, weights):
-    """Let a book know the weights of fillers beside a serving image."""
+    """Import the interference weights of fillers on a serving image."""
     told = {f"{serving}|{filler}": [w, 0.01] for filler, w in weights.items()}
     book.hear("teacher", told)
 
 
 def strain_of(load):
-    """Return the strain that a load causes."""
+    """Return the latency ratio at a load."""
     return pressure.IDLE_STRAIN / (1.0 - min(load, 0.98))
--- a/wisteriawood/tests/invariants.py
+++ b/wisteriawood/tests/invariants.py
@@ -1,4 +1,4 @@
-"""Checks of what must always hold, from the workers' own records."""
+"""Checks of invariants, by the attempts that stand-in workers recorded."""
 
 from wisteriawood.contracts import keys
 from wisteriawood.contracts import resources
@@ -9,7 +9,7 @@
 
 
 def _records(world):
-    """Yield each worker's name with each of its records."""
+    """Yield each worker with each of its records."""
     for worker in world.workers.values():
         for record in worker.records:
             yield worker, record
@@ -40,7 +40,7 @@
 
 
 def find_overloads(world):
-    """Return workers that were given more than they can hold."""
+    """Return workers whose running attempts exceeded their capacity."""
     found = []
     for worker in world.workers.values():
         changes = []
@@ -61,7 +61,10 @@
 
 
 def find_wrong_resumes(world):
-    """Return evicted attempts that did not resume from their checkpoint."""
+    """Return attempts that did not resume from the latest checkpoint.
+
+    Only attempts after one that a command stopped are checked.
+    """
     found = []
     by_task = {}
     for _worker, record in _records(world):
@@ -79,7 +82,7 @@
 
 
 def find_row_errors(world, task_ids):
-    """Return accepted tasks that do not have exactly one row."""
+    """Return accepted tasks without exactly one row and a pointer to it."""
     found = []
     table = world.platform.table
     for task_id in task_ids:
@@ -98,11 +101,11 @@
 
 
 def find_runs_after_cancel(world, cancelled):
-    """Return cancelled tasks that run, or that began after their end.
+    """Return cancelled tasks that still run or that started too late.
 
     Args:
-        world: The world.
-        cancelled: Monotonic time of the accepted cancel by task id.
+        world: World whose workers and table are checked.
+        cancelled: Monotonic time of the accepted cancellation, by task id.
     """
     found = []
     for task_id, time_s in cancelled.items():
@@ -111,14 +114,14 @@
                 continue
             if not record.end:
                 found.append(f"{task_id} still runs on {worker.name}")
-            # A start command may have been on its way at that time.
+            # A start command sent before the cancellation may arrive later.
             if record.started_s > time_s + 10.0:
                 found.append(f"{task_id} began at {record.started_s:.1f}")
     return found
 
 
 def find_unended(world, task_ids):
-    """Return tasks without an end in the table."""
+    """Return tasks without an ended state in the table."""
     found = []
     for task_id in task_ids:
         row = world.platform.table.get(keys.ended(task_id))
@@ -132,7 +135,7 @@
 
 
 def find_runs_after_end(world, task_ids):
-    """Return attempts later than the one whose end is in the table."""
+    """Return attempts after the last attempt of an ended task."""
     found = []
     for task_id in task_ids:
         row = world.platform.table.get(keys.ended(task_id))
@@ -144,7 +147,7 @@
 
 
 def find_repeats(world):
-    """Return tasks of which more than one attempt finished."""
+    """Return ids of tasks with more than one finished attempt."""
     finished = [
         record.task
         for _worker, record in _records(world)
@@ -154,12 +157,12 @@
 
 
 def find_all(world, *, task_ids, cancelled):
-    """Return every breach of what must always hold.
+    """Return all violations of the invariants that apply to every world.
 
     Args:
-        world: The world.
+        world: World whose workers and table are checked.
         task_ids: Ids of all accepted tasks.
-        cancelled: Monotonic time of the accepted cancel by task id.
+        cancelled: Monotonic time of the accepted cancellation, by task id.
     """
     return [
         *find_overlaps(world),
--- a/wisteriawood/tests/module.py
+++ b/wisteriawood/tests/module.py
@@ -1,4 +1,4 @@
-"""Runs one module of tests and prints the result as a line of JSON."""
+"""Runs one test module and prints the result as a line of JSON."""
 
 import json
 import sys
@@ -6,12 +6,12 @@
 
 
 def _name(case):
-    # A subtest counts as the test that it is part of.
+    # A failed subtest is reported as its test.
     return getattr(case, "test_case", case).id()
 
 
 def main(name):
-    """Run the module.
+    """Run a test module and return the exit status, which is always 0.
 
     Args:
         name: Dotted name of the module.
