--- a/wisteriawood/bench/colocations.py
+++ b/wisteriawood/bench/colocations.py
@@ -82,7 +82,8 @@
     Attributes:
         slowdowns: Slowdown of each service instance in each second.
         finished_core_s: Work of the finished jobs in core-seconds.
-        lost_core_s: Work that was lost and done again, in core-seconds.
+        lost_core_s: Work since the last checkpoint of evicted and killed
+            jobs, and their restarts, in core-seconds.
         evictions: Number of evicted jobs.
         overruns: Number of jobs killed because their worker was out of
             memory.
@@ -108,7 +109,7 @@
 
     Args:
         site: Workers and workload to simulate.
-        seed: Seed of the workload and of the policies.
+        seed: Seed of the true slowdowns, the workload and the policies.
         placement: Name of the placement policy.
         throttling: Name of the throttling policy.
         eviction: Name of the eviction policy.
@@ -118,15 +119,15 @@
     """
 
     __slots__ = (
+        "_are_sizes_exact",
         "_delayed_reports",
-        "_workload_rng",
         "_number",
         "_offered_core_s",
         "_rng",
-        "_tasks",
         "_site",
-        "_are_sizes_exact",
+        "_tasks",
         "_true_slowdowns",
+        "_workload_rng",
         "allocator",
         "monitor",
         "now_s",
@@ -292,7 +293,7 @@
         worker_load = sum(other.load for other in neighbours.values())
         # Slowdown of each class by all classes on the worker, its own
         # included; each task divides out what it contributes itself.
-        harms = {
+        slowdowns = {
             name: self._true_slowdowns.slowdown(
                 name, list(neighbours.values()), worker_load
             )
@@ -307,7 +308,7 @@
                 * simulated.actual.cores
             )
             own_harm *= placement.throttle / 64.0 * (0.7 + 0.5 * worker_load)
-            slowdown = max(1.0, harms[name] / math.exp(own_harm))
+            slowdown = max(1.0, slowdowns[name] / math.exp(own_harm))
             speed = placement.throttle / slowdown
             self._advance(worker, placement, simulated, speed, slowdown)
             reports.append(self._report(placement, simulated, speed))
--- a/wisteriawood/bench/configuration.py
+++ b/wisteriawood/bench/configuration.py
@@ -39,7 +39,7 @@
 
     Attributes:
         hosts: Number of entry hosts.
-        isolated_every: Every host of this interval is cut off from the
+        isolated_every: One in this many hosts is cut off from the
             platform; 0 for none.
         is_isolated_late: Whether hosts are cut off LATE_ISOLATION_S before
             each change and reconnected after it; otherwise they are cut
