--- a/wisteriawood/contracts/grants.py
+++ b/wisteriawood/contracts/grants.py
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class SlotHolding:
-    """The slots of one target that an entry host reports to hold.
+    """Slots of one target that an entry host reports as held.
 
     Attributes:
         target: Id of the target.
--- a/wisteriawood/contracts/holdings.py
+++ b/wisteriawood/contracts/holdings.py
@@ -65,9 +65,10 @@
     former_longest_s: float = 0.0
 
     def replaces(self, older: "MemberRow") -> bool:
-        """Return whether an older process is known to have ended.
+        """Return whether this process has taken the address of an older one.
 
-        It has if this process, another incarnation, listens at its address.
+        The older process has then ended, as only one process can listen at
+        an address.
 
         Args:
             older: Row of the older process.
--- a/wisteriawood/contracts/runonce.py
+++ b/wisteriawood/contracts/runonce.py
@@ -39,14 +39,10 @@
 
 
 def digest(request: requests.Request) -> str:
-    """Return the digest of the service, method, path and body.
-
-    Args:
-        request: The request.
-    """
+    """Return the digest of a request's service, method, path and body."""
     parts = (request.service, request.method, request.path)
-    found = hashlib.blake2b(digest_size=16)
+    hasher = hashlib.blake2b(digest_size=16)
     for part in (*(text.encode() for text in parts), request.body):
-        found.update(len(part).to_bytes(8, "big"))
-        found.update(part)
-    return found.hexdigest()
+        hasher.update(len(part).to_bytes(8, "big"))
+        hasher.update(part)
+    return hasher.hexdigest()
--- a/wisteriawood/contracts/tasks.py
+++ b/wisteriawood/contracts/tasks.py
@@ -15,7 +15,7 @@
 
 
 class TaskState(enum.StrEnum):
-    """States of a task; its attempt number distinguishes runs."""
+    """States of a task; each run of a task is a numbered attempt."""
 
     PENDING = "pending"
     ASSIGNED = "assigned"
--- a/wisteriawood/contracts/terms.py
+++ b/wisteriawood/contracts/terms.py
@@ -41,10 +41,10 @@
             sent_at_s: Monotonic time just before the renewal was sent.
             confirmed_at_s: Monotonic time at which it was confirmed.
         """
-        ended_at_s = self.ends_at_s()
-        # A successor may have claimed between the end of the term and a
-        # late confirmation, even if the renewal was sent in time.
-        if ended_at_s is None or confirmed_at_s >= ended_at_s:
+        previous_end_s = self.ends_at_s()
+        # Once the term has ended, another daemon may have taken over before
+        # the confirmation arrives, even if the renewal was sent in time.
+        if previous_end_s is None or confirmed_at_s >= previous_end_s:
             self._unbroken_since_s = confirmed_at_s
         if self._confirmed_at_s is None or sent_at_s > self._confirmed_at_s:
             self._confirmed_at_s = sent_at_s
--- a/wisteriawood/machines/allocators.py
+++ b/wisteriawood/machines/allocators.py
@@ -32,7 +32,8 @@
 # for a task of a team below its own.
 RECLAIM_SHARE_AFTER_S = 10.0
 MAX_RECLAIMS_PER_ROUND = 4
-# Failures cached in a round for each class, and for lack of resources.
+# Maximum number of placement failures that a round caches for each class,
+# and for insufficient capacity.
 MAX_CACHED_FAILURES = 16
 # Waiting time after which a job that would slow its neighbours too much on
 # every worker starts throttled, and the share of its resources it starts with.
@@ -139,6 +140,8 @@
                 rng=rng, team_quotas=self.quotas
             ),
         )
+        # By class; those under "" are of insufficient capacity and apply to
+        # all classes.
         self._cached_failures: dict[str, list[PlacementFailure]] = {}
         self._reclaim_count = 0
         self.zone_capacity = resources.NOTHING
@@ -235,9 +238,9 @@
     def _is_within_limit(self, team: str, needs: resources.Resources) -> bool:
         """Return whether more resources stay within a team's limit.
 
-        A scheduler applies a part of the limit: the part of the zone's
-        capacity that its own workers have. A team that uses no cores may
-        always start one task, if the task fits in the limit itself.
+        The limit is divided between the schedulers of the zone in proportion
+        to the capacity of their workers. A team that uses no cores may start
+        one task above its part if the task fits in the whole limit.
         """
         limit = self.quotas.of(team).limit
         if limit is None:
@@ -377,7 +380,7 @@
         if entry.worker.add(placement) is False:
             # The worker still has resources allocated to an earlier attempt.
             return
-        self.slow_starts.start(placement.task.spec, now_s=now_s)
+        self.slow_starts.record_start(placement.task.spec, now_s=now_s)
         self.evictions.record_start(waiting.task.spec.id, now_s=now_s)
         self.index.update(entry.worker, now_s=now_s)
         starts.append(Start(worker=entry.worker, placement=placement))
@@ -385,7 +388,7 @@
     def _reclaim_or_reserve(
         self, waiting: queues.PendingTask, now_s: float
     ) -> None:
-        """Evict for, or reserve a worker for, a task that waits too long."""
+        """Evict jobs or reserve a worker for a task that waits too long."""
         waited_s = now_s - waiting.since_s
         if waiting.reserved_worker or waited_s < RECLAIM_SHARE_AFTER_S:
             return
@@ -418,6 +421,11 @@
         return self.index.team_share(team) > self._fair_share(team)
 
     def _evict_for(self, waiting: queues.PendingTask, now_s: float) -> bool:
+        """Order evictions for a task, and reserve the worker for it.
+
+        Returns:
+            Whether a worker is reserved for the task.
+        """
         if waiting.reserved_worker:
             return True
         if now_s - waiting.since_s < 2 * waiting.min_wait_s:
--- a/wisteriawood/machines/evictions.py
+++ b/wisteriawood/machines/evictions.py
@@ -44,7 +44,13 @@
         team_quotas: Quotas of the teams, with the classes never evicted.
     """
 
-    __slots__ = ("_index", "_ordered_s", "_policy", "_quotas", "_started_s")
+    __slots__ = (
+        "_index",
+        "_ordered_at_s",
+        "_policy",
+        "_quotas",
+        "_started_at_s",
+    )
 
     def __init__(
         self,
@@ -56,8 +62,8 @@
         self._quotas = team_quotas
         self._index = index
         self._policy = policy
-        self._ordered_s: dict[str, float] = {}
-        self._started_s: dict[str, float] = {}
+        self._ordered_at_s: dict[str, float] = {}
+        self._started_at_s: dict[str, float] = {}
 
     def record_start(self, task: str, *, now_s: float) -> None:
         """Record when a task was placed.
@@ -66,7 +72,7 @@
             task: Id of the task.
             now_s: Monotonic time in seconds.
         """
-        self._started_s[task] = now_s
+        self._started_at_s[task] = now_s
 
     def keep_only(self, placed: set[str]) -> None:
         """Discard the state of tasks that are no longer on a worker.
@@ -74,7 +80,7 @@
         Args:
             placed: Ids of the tasks that are on workers.
         """
-        for known in (self._started_s, self._ordered_s):
+        for known in (self._started_at_s, self._ordered_at_s):
             for task in known.keys() - placed:
                 del known[task]
 
@@ -84,9 +90,9 @@
         Args:
             now_s: Monotonic time in seconds.
         """
-        self._ordered_s = {
+        self._ordered_at_s = {
             task: at_s
-            for task, at_s in self._ordered_s.items()
+            for task, at_s in self._ordered_at_s.items()
             if now_s - at_s < ORDER_TIMEOUT_S
         }
 
@@ -96,7 +102,7 @@
         Args:
             task: Id of the task.
         """
-        return task in self._ordered_s
+        return task in self._ordered_at_s
 
     def victims(
         self, entry: indexes.IndexEntry, *, now_s: float
@@ -115,17 +121,17 @@
             spec = placement.task.spec
             if spec.kind != tasks.TaskKind.BATCH or spec.urgent:
                 continue
-            if task_id in self._ordered_s or placement.eviction_reason:
+            if task_id in self._ordered_at_s or placement.eviction_reason:
                 continue
             if spec.task_class in self._quotas.of(spec.team).not_evicted:
                 continue
-            started_s = self._started_s.setdefault(task_id, now_s)
+            started_at_s = self._started_at_s.setdefault(task_id, now_s)
             evictable.append(
                 base.Victim(
                     spec=spec,
                     worker=entry.worker.name,
                     allocated=placement.allocated,
-                    elapsed_s=now_s - started_s,
+                    elapsed_s=now_s - started_at_s,
                 )
             )
         return base.eviction_order(self._policy, evictable)
@@ -202,7 +208,7 @@
             now_s: Monotonic time in seconds.
         """
         for victim in plan.victims:
-            self._ordered_s[victim.spec.id] = now_s
+            self._ordered_at_s[victim.spec.id] = now_s
             plan.entry.worker.order_eviction(victim.spec.id, reason)
             _LOG.log(events.ROOM_MADE, task=victim.spec.id, reason=reason)
 
--- a/wisteriawood/machines/indexes.py
+++ b/wisteriawood/machines/indexes.py
@@ -15,8 +15,8 @@
 # doubling.
 CORE_LEVELS_PER_DOUBLING = 2.0
 MEMORY_UNIT_BYTES = 2**28
-# Workers sampled from the buckets that contain the needs themselves, where
-# only some of the workers have enough free.
+# Workers sampled from the buckets into whose ranges the needs fall, where only
+# some of the workers have enough resources free.
 BORDERLINE_SAMPLE_SIZE = 48
 
 Level = tuple[int, int, int]
@@ -76,7 +76,7 @@
         groups: Number of instances of each group on it.
         neighbours: Classes that run on it, with their loads.
         log_slowdowns: Predicted logarithm of the slowdown of each class on it.
-        changed_s: Monotonic time at which its tasks last changed.
+        changed_at_s: Monotonic time at which its tasks last changed.
         is_blocked: Whether it is on probation and gets no tasks.
         has_slowed_services: Whether services on it are slowed or batch jobs
             throttled, so that batch jobs which are not urgent stay away.
@@ -95,7 +95,7 @@
         default_factory=dict
     )
     log_slowdowns: dict[str, float] = dataclasses.field(default_factory=dict)
-    changed_s: float = 0.0
+    changed_at_s: float = 0.0
     is_blocked: bool = False
     has_slowed_services: bool = False
 
@@ -176,9 +176,10 @@
         if entry is None:
             entry = self.entries[worker.name] = IndexEntry(worker=worker)
             self.capacity = self.capacity + worker.capacity
+        # A change of the worker's allocations or capacity replaces free.
         if entry.free is not worker.free:
             entry.free = worker.free
-            entry.changed_s = now_s
+            entry.changed_at_s = now_s
             self._update_usage(entry)
         self._update_bucket(entry)
         return entry
@@ -354,6 +355,7 @@
         ]
 
 
+# Fits any worker, even one with negative free resources.
 _ANY_AMOUNT = resources.Resources(
     cores=-math.inf, memory_bytes=-(2**62), accelerators=-(2**30)
 )
--- a/wisteriawood/machines/monitors.py
+++ b/wisteriawood/machines/monitors.py
@@ -22,7 +22,7 @@
 # than this time ago, since reports lag and may show former neighbours.
 SETTLING_TIME_S = 5.0
 # Time for which a slowdown seen by entry hosts replaces the reported one.
-LATENCY_VALID_S = 5.0
+LATENCY_VALIDITY_S = 5.0
 # Weight of the newest value in the smoothed slowdown.
 SLOWDOWN_SMOOTHING = 0.4
 # Memory allocated to a running task, as a factor on its peak use.
@@ -40,7 +40,7 @@
         peak: Highest use of each resource.
         slowdown: Smoothed slowdown as a ratio; 0 if not known.
         latency_slowdown: Slowdown measured by entry hosts.
-        latency_s: Monotonic time of that measurement.
+        latency_measured_at_s: Monotonic time of that measurement.
         measured_s: Time of the newest report on the worker's clock.
     """
 
@@ -48,16 +48,18 @@
     peak: resources.Resources = resources.NOTHING
     slowdown: float = 0.0
     latency_slowdown: float = 0.0
-    latency_s: float = -1e9
+    latency_measured_at_s: float = -1e9
     measured_s: float = -1.0
 
 
 class Monitor:
-    """Limits batch jobs by usage reports and request latencies.
+    """Limits batch jobs that slow services beside them.
+
+    It learns slowdowns and sizes from usage reports and request latencies.
 
     Args:
-        allocator: Allocator whose workers are watched and whose estimates
-            are updated.
+        allocator: Allocator whose workers are monitored and whose
+            estimates are updated.
         throttling: Name of the throttling policy.
     """
 
@@ -90,7 +92,7 @@
         """
         observed = self._observations.setdefault(task, TaskObservations())
         observed.latency_slowdown = slowdown
-        observed.latency_s = now_s
+        observed.latency_measured_at_s = now_s
 
     def keep_only(self, placed: set[str]) -> None:
         """Discard the state of tasks that are no longer on a worker.
@@ -118,7 +120,7 @@
         """
         index = self._allocator.index
         entry = index.update(worker, now_s=now_s)
-        is_stable = now_s - entry.changed_s >= SETTLING_TIME_S
+        is_stable = now_s - entry.changed_at_s >= SETTLING_TIME_S
         for report in reports:
             placement = worker.placements.get(report.task)
             if placement is None:
@@ -162,7 +164,7 @@
             self._allocator.sizes.observe(
                 indexes.class_of(spec), declared=spec.needs, used=observed.peak
             )
-            self._allocator.slow_starts.finish(spec)
+            self._allocator.slow_starts.record_measured(spec)
 
     def _learn_slowdown(
         self,
@@ -176,7 +178,7 @@
         slowdown = 0.0
         if report.speed > 0:
             slowdown = max(1.0, placement.throttle / report.speed)
-        if now_s - observed.latency_s < LATENCY_VALID_S:
+        if now_s - observed.latency_measured_at_s < LATENCY_VALIDITY_S:
             slowdown = observed.latency_slowdown
         if not slowdown:
             return
@@ -196,18 +198,18 @@
     ) -> None:
         """Allocate what tasks were measured to use."""
         worker = entry.worker
-        least = MIN_CORES_CHANGE_SHARE * worker.capacity.cores
+        min_change_cores = MIN_CORES_CHANGE_SHARE * worker.capacity.cores
         for task_id, placement in list(worker.placements.items()):
             observed = self._observations.get(task_id)
             if observed is None or observed.reports < 2:
                 continue
-            learned = self._allocator.predict_needs(placement.task.spec)
+            predicted = self._allocator.predict_needs(placement.task.spec)
             old = placement.allocated
             # The margin is limited to free memory; the measured use always
             # counts in full.
             room_bytes = old.memory_bytes + max(0, worker.free.memory_bytes)
             margin_bytes = int(observed.peak.memory_bytes * MEMORY_MARGIN)
-            wanted_bytes = max(learned.memory_bytes, margin_bytes)
+            wanted_bytes = max(predicted.memory_bytes, margin_bytes)
             allocated = resources.Resources(
                 cores=observed.peak.cores,
                 memory_bytes=max(
@@ -216,7 +218,7 @@
                 accelerators=old.accelerators,
             )
             if (
-                abs(allocated.cores - old.cores) < least
+                abs(allocated.cores - old.cores) < min_change_cores
                 and allocated.memory_bytes <= old.memory_bytes
                 and allocated.memory_bytes > 0.8 * old.memory_bytes
             ):
@@ -224,9 +226,10 @@
             worker.remove(task_id)
             placement.allocated = allocated
             worker.add(placement)
-        changed_s = entry.changed_s
+        # A changed allocation is no change of the tasks on the worker.
+        changed_at_s = entry.changed_at_s
         self._allocator.index.update(worker, now_s=now_s)
-        entry.changed_s = changed_s
+        entry.changed_at_s = changed_at_s
         if worker.free.memory_bytes < 0:
             self._evict_to_free_memory(entry, now_s)
 
@@ -281,24 +284,26 @@
                 now_s=now_s,
             )
         )
-        for order in decision.throttles:
-            entry.worker.order_throttle(order.task, order.share)
-            _LOG.log(events.TASK_THROTTLED, task=order.task, share=order.share)
+        for throttle in decision.throttles:
+            entry.worker.order_throttle(throttle.task, throttle.share)
+            _LOG.log(
+                events.TASK_THROTTLED, task=throttle.task, share=throttle.share
+            )
         if decision.throttles:
             self._allocator.index.refresh_usage(entry)
         if decision.evict:
             self._allocator.evictions.evict_one(
                 entry,
                 harms={
-                    found.task: found.current_harm()
-                    for found in aggressors
-                    if found.current_harm() >= base.MIN_HARM
+                    aggressor.task: aggressor.current_harm()
+                    for aggressor in aggressors
+                    if aggressor.current_harm() >= base.MIN_HARM
                 },
                 reason="slows services, though throttled",
                 now_s=now_s,
             )
         entry.has_slowed_services = excess > 1.0 or any(
-            found.share < 1.0 for found in aggressors
+            aggressor.share < 1.0 for aggressor in aggressors
         )
 
     def _remove_throttles(self, entry: indexes.IndexEntry) -> None:
@@ -383,12 +388,12 @@
         placement: The task's placement.
     """
     name = indexes.class_of(placement.task.spec)
-    own = indexes.load_of(placement, entry.worker)
+    own_load = indexes.load_of(placement, entry.worker)
     neighbours = []
     for other in entry.neighbours.values():
         if other.name == name:
             if other.count == 1:
                 continue
-            other = dataclasses.replace(other, load=other.load - own)
+            other = dataclasses.replace(other, load=other.load - own_load)
         neighbours.append(other)
     return neighbours
--- a/wisteriawood/machines/placers.py
+++ b/wisteriawood/machines/placers.py
@@ -242,7 +242,10 @@
         self._queue_changed.set()
 
     def _rank(self, task_id: str) -> int:
-        """Return how many schedulers with racks try to place a task first."""
+        """Return how many schedulers try to place a task before this one.
+
+        Only schedulers that hold racks count.
+        """
         scheduler = self._scheduler
         own = scheduler.membership.own.name
         return claims.rank(scheduler.rack_holders | {own}, own, task_id)
--- a/wisteriawood/machines/probations.py
+++ b/wisteriawood/machines/probations.py
@@ -22,12 +22,12 @@
     """Failures and probation of one worker.
 
     Attributes:
-        failed_s: Monotonic time of the newest failure of each job.
+        failed_at_s: Monotonic time of the newest failure of each job.
         until_s: Monotonic time at which the probation ends.
         length_s: Length of the latest probation in seconds.
     """
 
-    failed_s: dict[str, float] = dataclasses.field(default_factory=dict)
+    failed_at_s: dict[str, float] = dataclasses.field(default_factory=dict)
     until_s: float = 0.0
     length_s: float = 0.0
 
@@ -59,14 +59,14 @@
             self._failed_workers.pop(next(iter(self._failed_workers)))
         self._failed_workers.setdefault(task, set()).add(worker)
         record = self._records.setdefault(worker, FailureRecord())
-        record.failed_s[task] = now_s
-        record.failed_s = {
+        record.failed_at_s[task] = now_s
+        record.failed_at_s = {
             job: at_s
-            for job, at_s in record.failed_s.items()
+            for job, at_s in record.failed_at_s.items()
             if now_s - at_s < FAILURE_WINDOW_S
         }
         failed_jobs = [
-            job for job in record.failed_s if not self.is_faulty(job)
+            job for job in record.failed_at_s if not self.is_faulty(job)
         ]
         if (
             len(failed_jobs) < FAILED_JOBS_FOR_PROBATION
@@ -97,7 +97,7 @@
         """
         record = self._records.get(worker)
         if record is not None:
-            record.failed_s = {}
+            record.failed_at_s = {}
             record.until_s = record.length_s = 0.0
         self._failed_workers.pop(task, None)
 
--- a/wisteriawood/machines/queues.py
+++ b/wisteriawood/machines/queues.py
@@ -26,7 +26,8 @@
         reason: Why it waits, shown to the operator.
         reserved_worker: Worker that is reserved for it; empty if none.
         reserved_at_s: Monotonic time of the reservation.
-        lacks_capacity: Whether it waits because no worker has enough free.
+        lacks_capacity: Whether it waits because no worker has enough free
+            capacity.
         min_wait_s: Waiting time after which this scheduler may place it.
     """
 
--- a/wisteriawood/machines/slow_starts.py
+++ b/wisteriawood/machines/slow_starts.py
@@ -4,9 +4,9 @@
 from wisteriawood.machines import indexes
 from wisteriawood.policies import sizes
 
-# Tasks of an unknown class that may run without a usage report, and the time
-# after which one no longer counts, even without a report.
+# Maximum number of tasks of an unknown class that run without a usage report.
 MAX_UNMEASURED_TASKS = 8
+# Time after which such a task no longer counts, even without a report.
 MEASUREMENT_TIMEOUT_S = 15.0
 
 
@@ -17,10 +17,10 @@
         learned: Resource use learned so far, by class.
     """
 
-    __slots__ = ("_running", "_sizes")
+    __slots__ = ("_sizes", "_unmeasured")
 
     def __init__(self, *, learned: sizes.SizeEstimator):
-        self._running: dict[str, dict[str, float]] = {}
+        self._unmeasured: dict[str, dict[str, float]] = {}
         self._sizes = learned
 
     def may_start(self, spec: tasks.TaskSpec, *, now_s: float) -> bool:
@@ -33,15 +33,15 @@
         name = indexes.class_of(spec)
         if spec.urgent or self._sizes.is_known(name):
             return True
-        running = self._running.get(name)
-        if running is None:
+        unmeasured = self._unmeasured.get(name)
+        if unmeasured is None:
             return True
-        for task, started_s in list(running.items()):
-            if now_s - started_s > MEASUREMENT_TIMEOUT_S:
-                del running[task]
-        return len(running) < MAX_UNMEASURED_TASKS
+        for task, started_at_s in list(unmeasured.items()):
+            if now_s - started_at_s > MEASUREMENT_TIMEOUT_S:
+                del unmeasured[task]
+        return len(unmeasured) < MAX_UNMEASURED_TASKS
 
-    def start(self, spec: tasks.TaskSpec, *, now_s: float) -> None:
+    def record_start(self, spec: tasks.TaskSpec, *, now_s: float) -> None:
         """Record that a task starts.
 
         Args:
@@ -50,17 +50,17 @@
         """
         name = indexes.class_of(spec)
         if not self._sizes.is_known(name):
-            self._running.setdefault(name, {})[spec.id] = now_s
+            self._unmeasured.setdefault(name, {})[spec.id] = now_s
 
-    def finish(self, spec: tasks.TaskSpec) -> None:
+    def record_measured(self, spec: tasks.TaskSpec) -> None:
         """Record that the resource use of a task has been measured.
 
         Args:
             spec: The task.
         """
-        running = self._running.get(indexes.class_of(spec))
-        if running is not None:
-            running.pop(spec.id, None)
+        unmeasured = self._unmeasured.get(indexes.class_of(spec))
+        if unmeasured is not None:
+            unmeasured.pop(spec.id, None)
 
     def keep_only(self, placed: set[str]) -> None:
         """Discard the state of tasks that are no longer on a worker.
@@ -68,8 +68,8 @@
         Args:
             placed: Ids of the tasks that are on workers.
         """
-        for name, running in list(self._running.items()):
-            for task in running.keys() - placed:
-                del running[task]
-            if not running:
-                del self._running[name]
+        for name, unmeasured in list(self._unmeasured.items()):
+            for task in unmeasured.keys() - placed:
+                del unmeasured[task]
+            if not unmeasured:
+                del self._unmeasured[name]
--- a/wisteriawood/machines/workers.py
+++ b/wisteriawood/machines/workers.py
@@ -30,7 +30,8 @@
             no effect.
         stop_not_before_s: Earliest monotonic time at which it is stopped, so
             that its requests in flight can complete; 0 if not set.
-        boot: Boot of the worker to which the start command was sent.
+        boot: Id of the instance of the worker process to which the start
+            command was sent; None before that.
         is_started: Whether the worker accepted the start command.
         refusals: Number of start commands that the worker refused.
         change: State change that waits for its commit, if any.
@@ -157,7 +158,7 @@
         return before
 
     def has_new_address(self, address: str) -> bool:
-        """Return whether an empty worker has a new address.
+        """Return whether the worker has a new address and no tasks.
 
         Args:
             address: Address of the worker in the host list.
--- a/wisteriawood/policies/eviction/base.py
+++ b/wisteriawood/policies/eviction/base.py
@@ -19,19 +19,16 @@
         worker: Name of its worker.
         allocated: Resources that its eviction frees.
         elapsed_s: Seconds since its attempt was placed.
-        harm: Predicted slowdown of services that the task causes, as a
-            logarithm.
     """
 
     spec: tasks.TaskSpec
     worker: str
     allocated: resources.Resources
     elapsed_s: float = 0.0
-    harm: float = 0.0
 
 
 class EvictionPolicy(typing.Protocol):
-    """Computes the cost of an eviction; the lowest cost is evicted first."""
+    """Computes costs; the task with the lowest cost is evicted first."""
 
     def cost(self, victim: Victim) -> float:
         """Return the cost of an eviction, above 0.
--- a/wisteriawood/policies/placement/least_harm.py
+++ b/wisteriawood/policies/placement/least_harm.py
@@ -94,10 +94,9 @@
                 best, lowest_cost = entry, cost
         if best is None:
             raise base.HarmError(
-                f"{len(fitting)} workers have enough free capacity, but "
-                "services there would be slowed by more than their team "
-                "allows, or batch jobs would lose more throughput than this "
-                "one gains"
+                f"{len(fitting)} workers have room, but services there "
+                "would be slowed by more than their team allows, or batch "
+                "jobs by more than this one would get done"
             )
         return best
 
@@ -213,6 +212,7 @@
             for other in entry.neighbours.values():
                 load = other.load
                 if other is victim:
+                    # A task does not slow itself, only others of its class.
                     load -= load / other.count
                 harm = self._estimates.harm
                 log_slowdown += (
--- a/wisteriawood/policies/placement/least_loaded.py
+++ b/wisteriawood/policies/placement/least_loaded.py
@@ -8,8 +8,10 @@
 class LeastLoaded:
     """Scans the workers and chooses the one with the most free cores.
 
+    Of workers with equally many, it chooses the first.
+
     Args:
-        context: Not used; the first of equal workers is chosen.
+        context: Not used.
     """
 
     __slots__ = ()
--- a/wisteriawood/policies/routing/base.py
+++ b/wisteriawood/policies/routing/base.py
@@ -39,7 +39,7 @@
         """Return the slow targets by id, with their slowdown factor."""
 
     def tick(self) -> None:
-        """Update what changes with time; called several times a second."""
+        """Update time-dependent state; called several times a second."""
 
     def forget(self, target_id: str) -> None:
         """Discard the state of a target that was removed.
--- a/wisteriawood/policies/routing/interference_aware.py
+++ b/wisteriawood/policies/routing/interference_aware.py
@@ -12,10 +12,10 @@
 # Weight of a new sample in the moving averages, once there are many samples.
 SMOOTHING_FACTOR = 1 / 24
 SLOWDOWN_HALF_LIFE_S = 10.0
-# Answers before a target can count as slow, and its slowdown as a logarithm
-# from which it does.
+# A target counts as slow after this many answers and above this logarithm of
+# its slowdown.
 MIN_ANSWERS = 8
-LOG_SLOW_FACTOR = math.log(1.6)
+MIN_LOG_SLOWDOWN = math.log(1.6)
 COMPARE_PERIOD_S = 0.05
 TIE_BREAK_WEIGHT = 1 / 1024
 # A request waits for a faster target if the expected wait is below this share
@@ -97,7 +97,7 @@
         return best
 
     def tick(self) -> None:
-        """Let slowdowns decay also while no requests arrive."""
+        """Update the slowdowns, which decay also while no requests arrive."""
         self._update_slowdowns()
 
     def slowdowns(self) -> dict[str, float]:
@@ -150,7 +150,7 @@
         for target_id, averages in self._averages.items():
             log_slowdown = self._log_slowdown(averages, now_s=now_s)
             if (
-                log_slowdown > LOG_SLOW_FACTOR
+                log_slowdown > MIN_LOG_SLOWDOWN
                 and averages.count >= MIN_ANSWERS
             ):
                 self._slowdowns[target_id] = math.exp(log_slowdown)
--- a/wisteriawood/policies/spreading/least_pressed.py
+++ b/wisteriawood/policies/spreading/least_pressed.py
@@ -5,11 +5,12 @@
 from wisteriawood.jobs import specs
 from wisteriawood.policies.spreading import base
 
-# Share of the CPU that a filler requests which must be unused on a worker.
+# A filler starts only on a worker whose unused CPU is at least this share of
+# the CPU that the filler requests.
 MIN_UNUSED_SHARE = 0.9
-# Highest predicted load of latency-sensitive tasks beside which a filler may
-# start. The margin up to the load at their target allows for increases that
-# reports show late.
+# A filler starts only if the predicted load of the latency-sensitive tasks on
+# the worker stays at or below this value. They reach their latency target at
+# BOUND_LOAD; the margin is for increases that reports show late.
 MAX_SERVING_LOAD = interference_models.BOUND_LOAD - 0.03
 # Weight of spare load relative to unused CPU in the choice.
 SPARE_LOAD_WEIGHT = 2.0
--- a/wisteriawood/policies/throttling/base.py
+++ b/wisteriawood/policies/throttling/base.py
@@ -36,8 +36,8 @@
 
     Attributes:
         worker: Name of the worker.
-        excess: Slowdown of a service divided by the one that its team
-            allows, the highest on the worker; above 1 is too much.
+        excess: Highest ratio, among the services on the worker, of the
+            slowdown to the one that the team allows; above 1 is too much.
         aggressors: Batch jobs on the worker.
         now_s: Monotonic time in seconds.
     """
--- a/wisteriawood/policies/throttling/never.py
+++ b/wisteriawood/policies/throttling/never.py
@@ -7,7 +7,7 @@
 
 @base.THROTTLING.register("never")
 class Never:
-    """Evicts a job once a service was slowed for EVICT_AFTER_S."""
+    """Evicts a job once a service has been slowed for EVICT_AFTER_S."""
 
     __slots__ = ("_slowed_since_s",)
 
--- a/wisteriawood/policies/throttling/step_down.py
+++ b/wisteriawood/policies/throttling/step_down.py
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class WorkerState:
-    """State of a worker.
+    """Throttling state of a worker.
 
     Attributes:
         acted_at_s: Monotonic time of the newest command in seconds.
@@ -93,6 +93,7 @@
     ) -> base.Decision:
         if view.now_s - state.released_at_s < RELAPSE_S:
             state.hold_s = min(2 * state.hold_s, MAX_HOLD_S)
+            # Each release doubles the period at most once.
             state.released_at_s = -1e9
         harmful = [
             aggressor
--- a/wisteriawood/tests/interference_tests.py
+++ b/wisteriawood/tests/interference_tests.py
@@ -69,8 +69,8 @@
         policy = step_down.StepDown()
         view = _view(1.05, {"a": 1.0, "b": 1.0}, now_s=10.0)
         view.aggressors[1].harm = 0.4
-        (order,) = policy.decide(view).throttles
-        self.assertEqual(("b", 0.5), (order.task, order.share))
+        (throttle,) = policy.decide(view).throttles
+        self.assertEqual(("b", 0.5), (throttle.task, throttle.share))
         view.now_s = 12.0
         self.assertEqual([], policy.decide(view).throttles)
 
@@ -79,8 +79,8 @@
         shares = {"a": 1.0}
         for now_s in range(60):
             decision = policy.decide(_view(1.2, shares, now_s=float(now_s)))
-            for order in decision.throttles:
-                shares[order.task] = order.share
+            for throttle in decision.throttles:
+                shares[throttle.task] = throttle.share
             if decision.evict:
                 break
         self.assertEqual({"a": step_down.MIN_SHARE}, shares)
@@ -98,16 +98,16 @@
         rng = random.Random(7)
         policy = step_down.StepDown()
         shares = {"a": 1.0, "b": 1.0}
-        orders = 0
+        throttle_count = 0
         for now_s in range(1200):
             # The limit is exceeded whenever both jobs run at full share.
             harm = 0.1 * sum(shares.values())
             excess = math.exp(harm - 0.14 + rng.gauss(0, 0.01))
             view = _view(excess, shares, now_s=float(now_s), harm=0.1)
-            for order in policy.decide(view).throttles:
-                shares[order.task] = order.share
-                orders += 1
-        self.assertLess(orders, 12)
+            for throttle in policy.decide(view).throttles:
+                shares[throttle.task] = throttle.share
+                throttle_count += 1
+        self.assertLess(throttle_count, 12)
 
     def test_share_is_restored_after_the_cause_ends(self):
         policy = step_down.StepDown()
@@ -115,8 +115,8 @@
         for now_s in range(200):
             excess = 1.2 if now_s < 30 else 0.85
             view = _view(excess, shares, now_s=float(now_s), harm=0.05)
-            for order in policy.decide(view).throttles:
-                shares[order.task] = order.share
+            for throttle in policy.decide(view).throttles:
+                shares[throttle.task] = throttle.share
         self.assertEqual({"a": 1.0}, shares)
 
 
--- a/wisteriawood/tests/placement_tests.py
+++ b/wisteriawood/tests/placement_tests.py
@@ -122,7 +122,7 @@
         counts = sorted(racks.count(rack) for rack in set(racks))
         self.assertEqual([4, 4, 4], counts)
 
-    def test_leaving_unknown_and_failed_workers_get_no_tasks(self):
+    def test_leaving_disconnected_and_failed_workers_get_no_tasks(self):
         workers = builders.make_workers(4)
         workers[0].leaving = True
         workers[1].is_connected = False
--- a/wisteriawood/tests/queues_tests.py
+++ b/wisteriawood/tests/queues_tests.py
@@ -15,7 +15,7 @@
     return [start.placement.task.spec.id for start in starts]
 
 
-def _teams(starts):
+def _count_by_team(starts):
     counts = {}
     for start in starts:
         team = start.placement.task.spec.team
@@ -46,7 +46,7 @@
         for number in range(20):
             spec = _eight_cores(f"calm-{number}", team="calm")
             builders.enqueue(allocator, spec, now_s=5.0)
-        teams = _teams(allocator.place(now_s=6.0))
+        teams = _count_by_team(allocator.place(now_s=6.0))
         self.assertEqual({"flood": 16, "calm": 16}, teams)
 
     def test_weights_divide_the_workers_between_teams(self):
@@ -58,7 +58,7 @@
             for team in ("a", "b"):
                 spec = _eight_cores(f"{team}-{number}", team=team)
                 builders.enqueue(allocator, spec)
-        teams = _teams(allocator.place(now_s=1.0))
+        teams = _count_by_team(allocator.place(now_s=1.0))
         self.assertEqual({"a": 24, "b": 8}, teams)
 
     def test_limit_of_a_quota_holds_and_is_explained(self):
@@ -171,7 +171,7 @@
         self.assertEqual(8, evicted)
 
 
-class WaitingWorldTests(unittest.TestCase):
+class WaitingTaskTests(unittest.TestCase):
 
     def test_impossible_job_ends_without_an_attempt(self):
         async def _check(world):
@@ -229,7 +229,7 @@
 
         builders.run_world(_check)
 
-    def test_failing_worker_does_not_drain_the_queue(self):
+    def test_worker_that_always_fails_gets_few_attempts(self):
         async def _check(world):
             bad = world.add_worker(builders.make_worker_host(name="bad"))
             world.add_worker(builders.make_worker_host(name="good-1"))
