--- a/wisteriawood/policies/eviction/base.py
+++ b/wisteriawood/policies/eviction/base.py
@@ -19,12 +19,15 @@
         worker: Name of its worker.
         allocated: Resources that its eviction frees.
         elapsed_s: Seconds since its attempt was placed.
+        harm: Predicted slowdown of services that the task causes, as a
+            logarithm.
     """
 
     spec: tasks.TaskSpec
     worker: str
     allocated: resources.Resources
     elapsed_s: float = 0.0
+    harm: float = 0.0
 
 
 class EvictionPolicy(typing.Protocol):
