--- a/wisteriawood/machines/announcements.py
+++ b/wisteriawood/machines/announcements.py
@@ -61,6 +61,7 @@
     ):
         self._members = members
         self._get_longest_deadline_s = get_longest_deadline_s
+        # Monotonic time until which each announced value is required.
         self._required_until_s: dict[float, float] = {}
         members.own.longest_s = requests.MAX_REQUEST_S
 
--- a/wisteriawood/machines/cancellations.py
+++ b/wisteriawood/machines/cancellations.py
@@ -87,7 +87,8 @@
         """Cancel the tasks on this scheduler's workers.
 
         Returns:
-            The remaining requests for which this scheduler is preferred.
+            The requests for other tasks that this scheduler is preferred
+            to process.
         """
         here = {
             task_id: worker
@@ -139,7 +140,7 @@
         )
 
     async def _remove_if_ended(self, request: platforms.Row) -> None:
-        """Delete a request if its task has ended.
+        """Delete a request if its task has ended or does not exist.
 
         The task is looked up only at every STALE_CHECK_SCANS-th call.
         """
--- a/wisteriawood/machines/dispatchers.py
+++ b/wisteriawood/machines/dispatchers.py
@@ -155,7 +155,7 @@
             sent = dataclasses.replace(request, traceparent=traceparent)
             with (
                 anyio.CancelScope() as scope,
-                service.watch(target, request, scope),
+                service.cancel_when_stalled(target, request, scope),
             ):
                 return await target.link.send(sent, timeout_s=timeout_s)
         raise errors.RequestUnknownError(
--- a/wisteriawood/machines/entry_hosts.py
+++ b/wisteriawood/machines/entry_hosts.py
@@ -85,7 +85,7 @@
     ):
         registry.load_modules(routing)
         self.membership = membership.Membership(platform=platform, own=member)
-        self._join_peers(platform, dial_peer, peer_addresses)
+        self._create_peering(platform, dial_peer, peer_addresses)
         self.counters = counters
         self.tracer = tracer
         self.services: dict[tuple[str, str], services.Service] = {}
@@ -113,12 +113,13 @@
         self._rng = rng
         self.queue_pool = request_queues.RequestQueuePool()
 
-    def _join_peers(
+    def _create_peering(
         self,
         platform: platforms.Platform,
         dial_peer: typing.Callable,
         peer_addresses: typing.Sequence[str],
     ) -> None:
+        """Create the peering and the configuration and drain followers."""
         self.peering = peering.Peering(
             members=self.membership,
             machine=self,
@@ -139,7 +140,7 @@
         if self.is_draining:
             return "draining"
         if self.drains.is_ordered(self.membership.own.name):
-            return "draining: requested by an operator"
+            return "draining: an operator has ordered it"
         if self.configuration.unready_reason():
             return self.configuration.unready_reason()
         if not self.targets:
--- a/wisteriawood/machines/grantors.py
+++ b/wisteriawood/machines/grantors.py
@@ -105,7 +105,7 @@
     def review(self) -> None:
         """Update the ledgers for changed racks, members and expired times."""
         now_s = anyio.current_time()
-        self._sync_books(now_s)
+        self._sync_ledgers(now_s)
         for holder in list(self.holders.values()):
             if self._may_reclaim_slots(holder, now_s):
                 self._reclaim_slots(holder, now_s)
@@ -114,11 +114,11 @@
                 self._list_unanswered(ledger, now_s)
         self._read_members(now_s)
         for quarantine in self._quarantines.review(now_s=now_s):
-            self._quarantine(quarantine)
+            self._apply_quarantine(quarantine)
         for ledger in self.ledgers.values():
             ledger.review(now_s=now_s)
 
-    def _sync_books(self, now_s: float) -> None:
+    def _sync_ledgers(self, now_s: float) -> None:
         for name, rack in self._held_racks.items():
             ledger = self.ledgers.get(name)
             if ledger is None or ledger.claim.epoch != rack.holding.epoch:
@@ -132,9 +132,10 @@
     def _list_unanswered(
         self, ledger: slot_ledgers.SlotLedger, now_s: float
     ) -> None:
-        """Record which entry hosts may hold slots that were granted before.
+        """Record which entry hosts may hold slots of earlier grantors.
 
-        The members must have been read after the rack was claimed.
+        Does nothing until the members have been read after the rack was
+        claimed.
         """
         if not self._members.watched_since(ledger.claimed_s):
             return
@@ -189,21 +190,21 @@
     def _reclaim_slots(
         self, holder: slot_ledgers.SlotHolder, now_s: float
     ) -> None:
-        self._end_shares(holder.member, now_s=now_s, is_dead=False)
+        self._open_quarantine(holder.member, now_s=now_s, is_dead=False)
         _LOG.log(events.SLOTS_TAKEN_BACK, entry=holder.member.name)
 
-    def _end_shares(
+    def _open_quarantine(
         self, member: holdings.MemberRow, *, now_s: float, is_dead: bool
     ) -> None:
         """Quarantine the shares of a process that sends no new requests."""
         holder = self.holders.pop(member.incarnation, None)
         if holder is not None:
             holder.is_closed = True
-        self._quarantine(
+        self._apply_quarantine(
             self._quarantines.open(member, ended_s=now_s, is_dead=is_dead)
         )
 
-    def _quarantine(self, quarantine: quarantines.Quarantine) -> None:
+    def _apply_quarantine(self, quarantine: quarantines.Quarantine) -> None:
         for ledger in self.ledgers.values():
             ledger.quarantine(
                 quarantine.member.incarnation,
@@ -217,7 +218,7 @@
         Args:
             member: Member row of the process.
         """
-        self._end_shares(member, now_s=anyio.current_time(), is_dead=True)
+        self._open_quarantine(member, now_s=anyio.current_time(), is_dead=True)
         _LOG.log(events.ENTRY_HOST_DEAD, entry=member.name)
 
     async def serve(
@@ -360,15 +361,15 @@
     ) -> grants.SlotGrant | None:
         """Return the new grant, or None if the entry host already has it."""
         incarnation = holder.member.incarnation
-        counted = ledger.target(target.id)
-        share = counted.share(incarnation)
+        target_shares = ledger.target(target.id)
+        share = target_shares.share(incarnation)
         if target.leaving or holder.is_draining:
             share.granted = 0
         elif may_allot:
-            counted.allot(
+            target_shares.allot(
                 holder=incarnation,
                 fair=self._fair_shares(target).get(incarnation, 0),
-                free=target.slots - counted.counted(),
+                free=target.slots - target_shares.counted(),
             )
         else:
             share.granted = share.held
--- a/wisteriawood/machines/held_racks.py
+++ b/wisteriawood/machines/held_racks.py
@@ -9,19 +9,30 @@
 
 
 class HeldRack:
-    """The period for which an entry host may use its slots of one rack.
+    """A rack in which an entry host holds slots, and their time limits.
 
     Args:
         name: Name of the rack.
+
+    Attributes:
+        name: Name of the rack.
+        epoch: Newest epoch under which a scheduler has claimed the rack.
+        grantor: Member row of that scheduler; None before the first claim.
+        is_retained: Whether the slots are retained without the grantor.
+        renewed_s: Monotonic time in seconds of the grantor's last answer.
+        retained_until_s: Monotonic time in seconds until which the slots may
+            be retained.
+        usable_until_s: Monotonic time in seconds until which the slots may
+            be used.
     """
 
     __slots__ = (
         "epoch",
         "grantor",
         "is_retained",
-        "retained_until_s",
         "name",
         "renewed_s",
+        "retained_until_s",
         "usable_until_s",
     )
 
@@ -75,11 +86,12 @@
         self.usable_until_s = min(self.usable_until_s, until_s)
 
     def retain(self) -> None:
-        """Retain the slots until the horizon, for a successor to count.
+        """Retain the slots until the horizon without the grantor.
 
-        To be called only when the grantor is known to be unable to take
-        slots back: its process is dead, its term has ended, or it no
-        longer holds the rack. A period that has ended is not extended.
+        By then the next holder of the rack can count them. To be called
+        only when the grantor is known to be unable to reclaim slots: its
+        process is dead, its term has ended, or it no longer holds the rack.
+        Slots that may no longer be used are not retained.
         """
         if self.is_usable(now_s=anyio.current_time()):
             self.is_retained = True
--- a/wisteriawood/machines/late_answer_links.py
+++ b/wisteriawood/machines/late_answer_links.py
@@ -80,8 +80,7 @@
         allowed_s = await self._announcement.allow(left_s)
         if left_s > 0 and allowed_s <= 0:
             raise errors.RequestNotRunError(
-                reason="this entry host has not announced its longest "
-                "request time yet"
+                reason="this entry host has not announced itself yet"
             )
         copy = dataclasses.replace(
             request,
--- a/wisteriawood/machines/outliers.py
+++ b/wisteriawood/machines/outliers.py
@@ -20,10 +20,7 @@
 
 
 class Verdict(enum.Enum):
-    """What the result of an attempt implies about its target.
-
-    The third verdict is given when the result is inconclusive.
-    """
+    """What the result of an attempt implies about its target."""
 
     GOOD = "good"
     FAILED = "failed"
@@ -90,6 +87,8 @@
     ) -> typing.Mapping[str, TargetRecord]:
         """Return the ejected targets by id; they get only probes.
 
+        Empty while more than MAX_EJECTED_SHARE of the targets are ejected.
+
         Args:
             targets_count: Number of targets of the service.
         """
--- a/wisteriawood/machines/quarantines.py
+++ b/wisteriawood/machines/quarantines.py
@@ -14,7 +14,8 @@
 
     Attributes:
         member: Member row of the process when the quarantine began.
-        ended_s: Monotonic time in seconds after its last request was sent.
+        ended_s: Monotonic time in seconds, read after its last request was
+            sent.
         is_dead: Whether the process is proved dead and holds no slots; else
             it only stopped responding.
         longest_s: Longest time in seconds that its last request may take.
@@ -63,8 +64,8 @@
 
         Args:
             member: Member row of the process.
-            ended_s: Monotonic time in seconds after its last request was
-                sent.
+            ended_s: Monotonic time in seconds, read after its last request
+                was sent.
             is_dead: Whether the process is proved dead.
         """
         found = self._open.get(member.incarnation)
@@ -99,20 +100,21 @@
                 del self._open[incarnation]
         return list(self._open.values())
 
-    def _read_row(self, found: Quarantine) -> None:
-        observed = self._observed_member(found)
+    def _read_row(self, quarantine: Quarantine) -> None:
+        observed = self._observed_member(quarantine)
         if observed is None or not observed.version:
             return
+        incarnation = quarantine.member.incarnation
         longest_s = 0.0
-        if observed.member.incarnation == found.member.incarnation:
+        if observed.member.incarnation == incarnation:
             longest_s = observed.member.longest_s
-        elif observed.member.former_incarnation == found.member.incarnation:
+        elif observed.member.former_incarnation == incarnation:
             longest_s = observed.member.former_longest_s
         if longest_s > 0:
-            found.longest_s = longest_s
+            quarantine.longest_s = longest_s
 
     def _observed_member(
-        self, found: Quarantine
+        self, quarantine: Quarantine
     ) -> membership.ObservedMember | None:
-        member = found.member
+        member = quarantine.member
         return self._members.observed_members.get((member.role, member.name))
--- a/wisteriawood/machines/rack_managers.py
+++ b/wisteriawood/machines/rack_managers.py
@@ -22,7 +22,7 @@
     from wisteriawood.machines import schedulers
 
 RACK_CHECK_PERIOD_S = 1.0
-FORMER_CHECK_PERIOD_S = 2.0
+FORMER_HOLDER_CHECK_PERIOD_S = 2.0
 # A holder that has not renewed its member row for this long is probed.
 PROBE_HOLDER_AFTER_S = 2.5
 
@@ -54,7 +54,7 @@
         """Check the racks and their former holders until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._check_racks_forever)
-            group.start_soon(self._check_formers_forever)
+            group.start_soon(self._check_former_holders_forever)
             group.start_soon(self._probes.run)
 
     def _suspects(self) -> list[holdings.MemberRow]:
@@ -205,22 +205,23 @@
         for rack in self._scheduler.racks.values():
             rack.remove_missing_workers(listed)
 
-    async def _check_formers_forever(self) -> None:
+    async def _check_former_holders_forever(self) -> None:
         """Detect former holders of racks whose processes are dead."""
         while True:
-            formers: dict[str, list[racks.Rack]] = {}
+            racks_by_former: dict[str, list[racks.Rack]] = {}
             for rack in self._scheduler.racks.values():
                 if rack.former is not None:
-                    held = formers.setdefault(rack.former.incarnation, [])
+                    incarnation = rack.former.incarnation
+                    held = racks_by_former.setdefault(incarnation, [])
                     held.append(rack)
-            for held in formers.values():
+            for held in racks_by_former.values():
                 if await self._is_dead(held[0].former):
                     for rack in held:
                         rack.mark_former_dead()
                         _LOG.log(
                             events.FORMER_HOLDER_GONE, rack=rack.holding.rack
                         )
-            await anyio.sleep(FORMER_CHECK_PERIOD_S)
+            await anyio.sleep(FORMER_HOLDER_CHECK_PERIOD_S)
 
     async def _is_dead(self, former: holdings.MemberRow) -> bool:
         observed = self._scheduler.membership.observed_members.get(
--- a/wisteriawood/machines/racks.py
+++ b/wisteriawood/machines/racks.py
@@ -47,8 +47,8 @@
         self.former_leases_until_s = 0.0
         # Monotonic time until which a former holder may renew leases.
         self.former_renews_until_s = 0.0
-        # Monotonic time at which the newest term ends in which the rack was
-        # certainly held.
+        # Monotonic end of the newest term in which the rack was certainly
+        # held.
         self.term_ends_s = 0.0
         # Monotonic start of the uninterrupted term in which the rack's row
         # was last verified.
@@ -93,8 +93,8 @@
             listed: Names of the workers in the host list.
         """
         for worker in list(self.workers.values()):
-            is_idle = not worker.placements and not worker.is_connected
-            if is_idle and worker.name not in listed:
+            is_unused = not worker.placements and not worker.is_connected
+            if is_unused and worker.name not in listed:
                 del self.workers[worker.name]
 
     def update_target(self, host: platforms.Host) -> None:
--- a/wisteriawood/machines/reconciliations.py
+++ b/wisteriawood/machines/reconciliations.py
@@ -32,7 +32,7 @@
 
 
 class Reconciliation:
-    """Compares a worker's inventory with its placements and acts on it.
+    """Compares a worker's inventory and placements; resolves differences.
 
     Args:
         scheduler: The scheduler that holds the rack.
@@ -171,7 +171,7 @@
         )
 
     def _may_start(self, placement: workers.Placement) -> bool:
-        """Return whether the attempt certainly has not run here before."""
+        """Return whether the attempt is wanted and has certainly not run."""
         return (
             placement.task.state == tasks.TaskState.ASSIGNED
             and not placement.is_unwanted()
@@ -235,7 +235,7 @@
             return
         is_stopping = task.state == tasks.TaskState.STOPPING
         if placement.is_cancelled or is_stopping:
-            if self._is_drained(placement):
+            if self._drain_target(placement):
                 await self._worker.link.stop(task.spec.id, task.attempt)
                 self._worker.wake()
         elif placement.eviction_reason:
@@ -243,7 +243,13 @@
         elif task.state == tasks.TaskState.ASSIGNED:
             self._record(placement, state=tasks.TaskState.RUNNING)
 
-    def _is_drained(self, placement: workers.Placement) -> bool:
+    def _drain_target(self, placement: workers.Placement) -> bool:
+        """Drain the target of a service task before the task is stopped.
+
+        Returns:
+            Whether the task may be stopped: it has no target, or
+            SERVICE_DRAIN_S have passed since the first call.
+        """
         task = placement.task
         target = self._rack.targets.get(f"{task.spec.id}.{task.attempt}")
         if target is None:
--- a/wisteriawood/machines/request_queues.py
+++ b/wisteriawood/machines/request_queues.py
@@ -199,8 +199,8 @@
         )
         if not share.waiters:
             waiting_weight += share.weight
-        lent = (own + 1) * (waiting_weight / share.weight - 1)
-        return own + min(others, lent)
+        others_served = (own + 1) * (waiting_weight / share.weight - 1)
+        return own + min(others, others_served)
 
     def last(self) -> WaitingRequest:
         """Return the request to refuse first when the queue is full.
@@ -280,7 +280,7 @@
             queue.refresh_weights()
 
     def limit(self, team: str) -> float:
-        """Return the maximum of requests in flight to a team's services."""
+        """Return the limit of requests in flight to a team's services."""
         return self.limits.get(team, math.inf)
 
     def is_below_limit(self, team: str) -> bool:
--- a/wisteriawood/machines/run_once.py
+++ b/wisteriawood/machines/run_once.py
@@ -22,6 +22,7 @@
 CLAIM_TIMEOUT_S = 2.0
 STORE_TIMEOUT_S = 1.0
 SHUTDOWN_STORE_TIMEOUT_S = 10.0
+SHUTDOWN_POLL_PERIOD_S = 0.1
 RETRY_AFTER_S = 2.0
 RETRY_PERIOD_S = 0.5
 REPEAT_POLL_PERIOD_S = 0.5
@@ -93,7 +94,7 @@
         self._pending_writes = 0
 
     async def run(self) -> None:
-        """Commit claims and answers, and delete expired ones.
+        """Commit claims and answers, and delete expired records.
 
         Runs until cancelled.
         """
@@ -106,7 +107,7 @@
         """Wait until pending writes are done, within a time limit."""
         with anyio.move_on_after(SHUTDOWN_STORE_TIMEOUT_S):
             while self._pending_writes:
-                await anyio.sleep(REPEAT_MARGIN_S)
+                await anyio.sleep(SHUTDOWN_POLL_PERIOD_S)
 
     async def serve(
         self, request: requests.Request, dispatch: Dispatch
@@ -200,8 +201,8 @@
             return await self._platform.read(key)
         except errors.PlatformError as exc:
             raise errors.RequestUnknownError(
-                reason="the key was used before, and its stored answer "
-                "can't be read now; repeat the request later",
+                reason="the key was used before, and its answer can't be "
+                "read now; repeat the request later",
                 status=503,
             ) from exc
 
@@ -228,8 +229,8 @@
         is_running = found.until_unix_s > self._wall_clock()
         if not is_running or left_s <= REPEAT_POLL_PERIOD_S + REPEAT_MARGIN_S:
             raise errors.RequestUnknownError(
-                reason="a request with this key was sent, and its outcome "
-                "is unknown",
+                reason="a request of this key was sent, and its end is not "
+                "known",
                 status=409,
             )
         await anyio.sleep(REPEAT_POLL_PERIOD_S)
@@ -246,8 +247,8 @@
                 body = None
         if body is None or len(body) != found.body_bytes:
             raise errors.RequestUnknownError(
-                reason="the request was run, and its stored answer can't be "
-                "read now; repeat the request later",
+                reason="it ran, and its stored answer can't be read now; "
+                "repeat the request later",
                 status=503,
             )
         return requests.Answer(
@@ -369,7 +370,7 @@
 
 def _key_not_checked() -> errors.RequestNotRunError:
     return errors.RequestNotRunError(
-        reason="the platform's table is unreachable, so the key can't be "
+        reason="the platform's table can't be reached, so the key can't be "
         "checked; this attempt was not run",
         status=503,
         retry_after_s=RETRY_AFTER_S,
--- a/wisteriawood/machines/schedulers.py
+++ b/wisteriawood/machines/schedulers.py
@@ -147,7 +147,10 @@
         return ""
 
     def has_authority(self, rack: racks.Rack) -> bool:
-        """Return whether a rack is certainly held, so that tasks may move.
+        """Return whether a rack is certainly held by this scheduler.
+
+        Only then may the scheduler assign, start, stop or requeue the tasks
+        of the rack.
 
         The scheduler's term must be in force, and the rack's row must have
         been read since that term began: while the term was interrupted,
--- a/wisteriawood/machines/services.py
+++ b/wisteriawood/machines/services.py
@@ -185,7 +185,7 @@
             waiter = self._queue.head(slots=self.slots())
             if self._is_too_late(waiter.request):
                 self._queue.remove(waiter)
-                waiter.refuse(self._refusal("a slot became free too late"))
+                waiter.refuse(self._refusal("its turn came too late"))
                 continue
             target = self._choose(
                 waiter.request, waiter.tried, queued=len(self._queue)
@@ -240,13 +240,13 @@
         )
 
     @contextlib.contextmanager
-    def watch(
+    def cancel_when_stalled(
         self,
         target: targets.Target,
         request: requests.Request,
         scope: anyio.CancelScope,
     ) -> typing.Iterator[None]:
-        """Cancel an attempt if its target stalls in the meantime.
+        """Cancel an attempt if its target stalls within the context.
 
         Args:
             target: Target of the attempt.
@@ -277,15 +277,19 @@
     def _usable(
         self, request: requests.Request, tried: frozenset[str]
     ) -> typing.Iterable[targets.Target]:
-        """Return the targets that a request may be sent to."""
-        out = self.outliers.ejected(targets_count=len(self.targets))
-        if not out:
+        """Return the targets that a request may be sent to.
+
+        If an ejected target is due for a probe, a repeatable request may be
+        sent only there.
+        """
+        ejected = self.outliers.ejected(targets_count=len(self.targets))
+        if not ejected:
             return self.targets.values()
         if request.request_class == requests.RequestClass.REPEATABLE:
-            for target_id in out:
+            for target_id in ejected:
                 if target_id not in tried and self._is_probe_due(target_id):
                     return [self.targets[target_id]]
-        return [t for t in self.targets.values() if t.id not in out]
+        return [t for t in self.targets.values() if t.id not in ejected]
 
     def _is_probe_due(self, target_id: str) -> bool:
         target = self.targets.get(target_id)
@@ -334,7 +338,7 @@
         excess_s = wait_s + self._expected_service_s(left_s) - left_s
         if excess_s > 0:
             raise self._refusal(
-                "too many requests wait to serve it before its deadline",
+                "too many wait to serve it before its deadline",
                 retry_after_s=excess_s,
             )
         self._queue.add(waiter)
--- a/wisteriawood/machines/slot_clients.py
+++ b/wisteriawood/machines/slot_clients.py
@@ -44,6 +44,12 @@
 
     Args:
         grantor: Member row of the scheduler at the other end.
+
+    Attributes:
+        answers: Answers to claims that the next report will contain.
+        demand: Demand last reported, by team/service.
+        racks: Names of the racks that the grantor renews on this link.
+        reported: Slots last reported as held, by target.
     """
 
     __slots__ = ("answers", "demand", "grantor", "racks", "reported")
@@ -378,8 +384,8 @@
     def _is_term_ended(self, rack: held_racks.HeldRack) -> bool:
         """Return whether the table shows that the grantor's term ended.
 
-        Only rows read after the grantor's last answer count: with older
-        rows, the grantor may have held its term without a break.
+        Only rows read after the grantor's last answer count. Older rows do
+        not rule out that the grantor has held its term without a break.
         """
         if not self._members.watched_since(rack.renewed_s):
             return False
@@ -405,9 +411,15 @@
             row = await self._platform.read(key)
             if row is not None:
                 found = rows.from_value(row.value, holdings.RackHolding)
-                is_same = found.incarnation == grantor.incarnation
-                is_ours = rack.epoch == epoch and rack.is_granted_by(grantor)
-                if is_ours and not (is_same and found.epoch == epoch):
+                is_held = (
+                    found.incarnation == grantor.incarnation
+                    and found.epoch == epoch
+                )
+                # A newer claim may have arrived during the read.
+                is_current = rack.epoch == epoch and rack.is_granted_by(
+                    grantor
+                )
+                if is_current and not is_held:
                     rack.retain()
         except errors.PlatformError:
             pass
--- a/wisteriawood/machines/slot_ledgers.py
+++ b/wisteriawood/machines/slot_ledgers.py
@@ -20,7 +20,7 @@
             the process is dead, or its slots were reclaimed.
         is_draining: Whether the entry host is returning its slots.
         demand: Slots that the entry host could fill, by team/service.
-        renewed: Names of the racks whose grants that update renewed.
+        renewed: Names of the racks whose grants the newest update renewed.
     """
 
     __slots__ = (
@@ -46,11 +46,12 @@
 
     Args:
         claim: Rack and epoch under which it is held.
-        now_s: Monotonic time in seconds after the rack was claimed.
+        now_s: Monotonic time in seconds, read after the rack was claimed.
 
     Attributes:
         claim: Rack and epoch under which it is held.
-        claimed_s: Monotonic time in seconds after the rack was claimed.
+        claimed_s: Monotonic time in seconds, read after the rack was
+            claimed.
         is_lost: Whether an entry host knows a newer epoch of the rack.
         answered: Incarnations of the entry hosts that answered the claim.
         unanswered_until_s: Monotonic time until which an entry host that
@@ -76,11 +77,12 @@
         self.unanswered_until_s: dict[str, float] | None = None
         self.targets: dict[str, shares.TargetShares] = {}
 
-    def target(self, name: str) -> shares.TargetShares:
+    def target(self, target_id: str) -> shares.TargetShares:
         """Return the shares of a target."""
-        found = self.targets.get(name)
+        found = self.targets.get(target_id)
         if found is None:
-            found = self.targets[name] = shares.TargetShares(target=name)
+            found = shares.TargetShares(target=target_id)
+            self.targets[target_id] = found
         return found
 
     def is_complete(self) -> bool:
--- a/wisteriawood/machines/targets.py
+++ b/wisteriawood/machines/targets.py
@@ -21,6 +21,12 @@
         grant: Latest grant of its slots.
         grantor: Name of the scheduler that granted it.
         link: Link to the target.
+
+    Attributes:
+        in_flight: Number of occupied slots, including the quarantined ones.
+        late_calls: Number of calls that continue though no caller waits.
+        rack: Rack of the target, which limits how long its slots may be
+            used; None for no limit.
     """
 
     __slots__ = (
@@ -54,10 +60,11 @@
         self.late_calls = 0
         self.rack: held_racks.HeldRack | None = None
         self._quarantined_until_s: list[float] = []
+        # Number of late calls that ended before their slot was quarantined.
         self._early_ends = 0
 
     def usable_until_s(self) -> float:
-        """Return the monotonic time in seconds until slots may be used."""
+        """Return the monotonic time in seconds when the slots expire."""
         return math.inf if self.rack is None else self.rack.usable_until_s
 
     def has_free_slot(self) -> bool:
--- a/wisteriawood/machines/transitions.py
+++ b/wisteriawood/machines/transitions.py
@@ -337,8 +337,8 @@
         return
     task = rows.from_value(row.value, tasks.Task)
     if task.epoch > rack.holding.epoch:
-        # The row belongs to the next holder of the rack; the next check of
-        # the racks will find this one lost.
+        # Another scheduler holds the rack by now; the next check of the
+        # racks removes it here.
         return
     placement.task = task
     placement.version = row.version
--- a/wisteriawood/tests/faults/proofs_tests.py
+++ b/wisteriawood/tests/faults/proofs_tests.py
@@ -1,7 +1,8 @@
 """Checks that each mechanism is needed: without it, an invariant fails.
 
-Each test runs one fault twice: with all mechanisms, when no breach may be
-found, and with one mechanism disabled, when the expected breach must be.
+Each test runs one fault twice: with all mechanisms, where no breach may be
+found, and with one mechanism disabled, where the expected breach must be
+found.
 """
 
 import contextlib
@@ -49,10 +50,10 @@
 
 def _start_without_time_limit(**fields):
     fields["not_after_s"] = math.inf
-    return _start_command(**fields)
+    return _ORIGINAL_START_COMMAND(**fields)
 
 
-_start_command = worker_links.StartCommand
+_ORIGINAL_START_COMMAND = worker_links.StartCommand
 
 
 def _has_confirmed_term(scheduler, _rack):
@@ -77,30 +78,30 @@
         raise errors.PlatformUnavailableError(str(exc)) from exc
 
 
-_claim = claims.commit
+_ORIGINAL_COMMIT_CLAIM = claims.commit
 
 
 async def _claim_without_waiting(platform, own, claim):
-    rack = await _claim(platform, own, claim)
+    rack = await _ORIGINAL_COMMIT_CLAIM(platform, own, claim)
     if rack is not None:
         rack.former_leases_until_s = anyio.current_time()
     return rack
 
 
 def _claim_unconditionally(watcher, name, row):
-    claim = _find_claim(watcher, name, row)
+    claim = _ORIGINAL_FIND_CLAIM(watcher, name, row)
     if claim is not None:
         claim.conditions.clear()
     return claim
 
 
-_find_claim = claims.find_claim
-_add = workers.Worker.add
+_ORIGINAL_FIND_CLAIM = claims.find_claim
+_ORIGINAL_ADD = workers.Worker.add
 
 
 def _add_without_counting(worker, placement):
     free = worker.free
-    added = _add(worker, placement)
+    added = _ORIGINAL_ADD(worker, placement)
     if placement.is_adopted:
         worker.free = free
         placement.allocated = worker.free - worker.free
@@ -116,12 +117,12 @@
         yield
 
 
-_record = transitions.record
+_ORIGINAL_RECORD = transitions.record
 
 
 def _record_without_checkpoint(*args, **fields):
     fields.pop("checkpoint", None)
-    _record(*args, **fields)
+    _ORIGINAL_RECORD(*args, **fields)
 
 
 def _mark_and_delete_requests(canceller, found):
--- a/wisteriawood/tests/run_once_tests.py
+++ b/wisteriawood/tests/run_once_tests.py
@@ -19,7 +19,7 @@
     )
 
 
-async def _zone(world):
+async def _build_zone(world):
     target = world.add_target(builders.make_target_host())
     world.add_scheduler(builders.make_member())
     entries = [
@@ -36,7 +36,7 @@
 
     def test_repeat_at_another_entry_host_gets_stored_answer(self):
         async def _check(world):
-            target, entries = await _zone(world)
+            target, entries = await _build_zone(world)
             for size_bytes in (5, run_once.MAX_ROW_BODY_BYTES + 1):
                 body = b"x" * size_bytes
                 key = str(size_bytes)
@@ -56,7 +56,7 @@
 
     def test_key_reused_for_another_request_is_refused(self):
         async def _check(world):
-            _target, entries = await _zone(world)
+            _target, entries = await _build_zone(world)
             await entries[0].serve(_request(id="1", body=b"one"))
             with self.assertRaises(errors.RequestNotRunError) as caught:
                 await entries[1].serve(_request(id="2", body=b"two"))
@@ -66,7 +66,7 @@
 
     def test_request_is_refused_at_once_while_table_is_down(self):
         async def _check(world):
-            target, entries = await _zone(world)
+            target, entries = await _build_zone(world)
             world.platform.faults.down = True
             started_s = anyio.current_time()
             with self.assertRaises(errors.RequestNotRunError) as caught:
@@ -79,7 +79,7 @@
 
     def test_claim_stored_after_its_timeout_releases_the_key(self):
         async def _check(world):
-            target, entries = await _zone(world)
+            target, entries = await _build_zone(world)
             world.platform.faults.slow_s = 3.0
             with self.assertRaises(errors.RequestNotRunError):
                 await entries[0].serve(_request(id="1"))
--- a/wisteriawood/tests/services_tests.py
+++ b/wisteriawood/tests/services_tests.py
@@ -1,4 +1,4 @@
-"""Admission of requests: order of slots, refusals and ejected targets."""
+"""Admission of requests: order of service, refusals, ejected targets."""
 
 import contextlib
 import math
@@ -33,9 +33,9 @@
         )
         service.release(target, request, result)
 
-    async def _serve_all(self, service, found, **kwargs):
+    async def _serve_all(self, service, arrivals, **kwargs):
         async with anyio.create_task_group() as group:
-            for request in found:
+            for request in arrivals:
                 group.start_soon(
                     lambda request=request: self._serve(
                         service, request, **kwargs
@@ -52,7 +52,7 @@
             target = builders.make_target(slots=1)
             service = builders.make_service(targets=[target])
             now_s = anyio.current_time()
-            found = [
+            arrivals = [
                 builders.make_request(id="first", deadline_s=now_s + 90),
                 builders.make_request(id="late", deadline_s=now_s + 80),
                 builders.make_request(id="early", deadline_s=now_s + 70),
@@ -60,7 +60,7 @@
                     id="urgent", deadline_s=now_s + 90, urgent=True
                 ),
             ]
-            await self._serve_all(service, found)
+            await self._serve_all(service, arrivals)
 
         builders.run_virtual(_check)
         self.assertEqual(["first", "urgent", "early", "late"], self.order)
@@ -74,7 +74,7 @@
             service = builders.make_service(
                 targets=[target], queue_pool=queue_pool
             )
-            found = [
+            arrivals = [
                 builders.make_request(
                     id=f"flood-{n}",
                     caller="flood",
@@ -83,13 +83,13 @@
                 )
                 for n in range(50)
             ]
-            found += [
+            arrivals += [
                 builders.make_request(
                     id=f"calm-{n}", caller="calm", deadline_s=math.inf
                 )
                 for n in range(10)
             ]
-            await self._serve_all(service, found)
+            await self._serve_all(service, arrivals)
 
         builders.run_virtual(_check)
         calm = [n for n, id in enumerate(self.order) if id[:4] == "calm"]
@@ -154,7 +154,7 @@
         async def _check():
             queue_pool = builders.make_queue_pool()
             queue_pool.set_quotas(weights={}, limits={"vitrinenklima": 3})
-            found = [
+            limited_services = [
                 builders.make_service(
                     targets=[builders.make_target(id=name)],
                     queue_pool=queue_pool,
@@ -162,18 +162,22 @@
                 for name in ("one", "other")
             ]
             async with anyio.create_task_group() as group:
-                for service in found:
+                for service in limited_services:
                     group.start_soon(self._tick_forever, service)
                 for number in range(10):
                     request = builders.make_request(
                         id=str(number), deadline_s=math.inf
                     )
-                    group.start_soon(self._serve, found[number % 2], request)
+                    group.start_soon(
+                        self._serve, limited_services[number % 2], request
+                    )
                 for _ in range(100):
                     await anyio.sleep(0.1)
                     in_flight = sum(
                         service.targets[name].in_flight
-                        for service, name in zip(found, ("one", "other"))
+                        for service, name in zip(
+                            limited_services, ("one", "other")
+                        )
                     )
                     self.assertLessEqual(in_flight, 3)
                 group.cancel_scope.cancel()
