--- a/wisteriawood/cells/balancers.py
+++ b/wisteriawood/cells/balancers.py
@@ -13,8 +13,8 @@
 # Part of each cell's weight that does not depend on its free capacity, so that
 # full cells have a weight above 0.
 MIN_CELL_WEIGHT = 0.001
-# Exponent of a cell's share of free capacity in its weight.
-ROOM_EXPONENT = 2
+# Exponent of a cell's free share of its capacity in its weight.
+FREE_SHARE_EXPONENT = 2
 
 
 class Balancer:
@@ -56,7 +56,7 @@
         views = {cell: self._view(cell, loads[cell], hosts) for cell in cells}
         reserved, fillers = _peak_demand(spec)
 
-        def _room(cell: str) -> float:
+        def _free_share(cell: str) -> float:
             view = views[cell]
             if reserved >= fillers:
                 left = view.free_millicores - reserved
@@ -64,17 +64,21 @@
                 left = view.left_millicores - fillers
             return left / view.capacity_millicores
 
-        def _order(cell: str) -> float:
-            room = max(_room(cell), 0.0) ** ROOM_EXPONENT + MIN_CELL_WEIGHT
-            return -math.log(_hash_fraction(cell, spec.id)) / room
+        def _draw_key(cell: str) -> float:
+            """Return a sort key; the lowest one is a weighted random draw."""
+            weight = (
+                max(_free_share(cell), 0.0) ** FREE_SHARE_EXPONENT
+                + MIN_CELL_WEIGHT
+            )
+            return -math.log(_hash_fraction(cell, spec.id)) / weight
 
-        if max(map(_room, cells)) <= 0:
-            best = max(cells, key=_room)
+        if max(map(_free_share, cells)) <= 0:
+            best = max(cells, key=_free_share)
         else:
-            best = min(cells, key=_order)
+            best = min(cells, key=_draw_key)
         return best, views[best]
 
-    def note_sent(self, cell: str, spec: specs.JobSpec) -> None:
+    def record_sent(self, cell: str, spec: specs.JobSpec) -> None:
         """Count a job against its cell until heartbeats include it.
 
         Args:
@@ -96,7 +100,8 @@
                 reserved, fillers = _peak_demand(spec)
                 if any(step.is_standing for step in spec.steps):
                     # Callers are spread over the hosts, so each other host
-                    # has likely sent as much, and standing tasks stay long.
+                    # has probably sent as many jobs, and standing tasks
+                    # keep their CPU for long.
                     reserved *= hosts
                 view.free_millicores -= reserved
                 view.left_millicores -= reserved + fillers
--- a/wisteriawood/cells/cells.py
+++ b/wisteriawood/cells/cells.py
@@ -28,8 +28,8 @@
 from wisteriawood.telemetry import job_metrics
 
 _LOG = events.Logger(name=__name__)
-# Time without a new job after which fillers that found no room are placed
-# as well.
+# Time without a new job after which the placer starts fillers of idle jobs
+# even where they exceed the load limits.
 INTAKE_IDLE_S = 5.0
 # Pause between two placement passes.
 PLACEMENT_PAUSE_S = 0.02
@@ -95,7 +95,7 @@
         self.orphans: dict[str, list[runs.Run]] = {}
         self.writer = job_writers.JobWriter(
             store=store,
-            claim_at=tables.claim_row(claim.cell),
+            claim_key=tables.claim_row(claim.cell),
             claim_version=claim.version,
         )
         self.model = interference_models.InterferenceModel()
@@ -129,7 +129,7 @@
         job.accepted_at_s = anyio.current_time() - max(0.0, age_s)
         self.jobs[job.id] = job
         self.last_job_at_s = anyio.current_time()
-        if not job.is_ended() and job.open_due(time.time() * 1000):
+        if not job.is_ended() and job.open_due_occurrences(time.time() * 1000):
             self.counters.ready.inc()
         self.update_waiting(job)
 
@@ -150,7 +150,7 @@
         now_unix_ms = time.time() * 1000
         for job in self.jobs.values():
             if job.spec.is_timed() and not job.is_ended():
-                if job.open_due(now_unix_ms):
+                if job.open_due_occurrences(now_unix_ms):
                     self.update_waiting(job)
 
     def request_placement(self) -> None:
@@ -215,7 +215,7 @@
         await self.writer.wait_until_stored(batches)
         for worker, run in assigned:
             if run.is_current() and not run.is_stopping:
-                worker.order(run)
+                worker.queue_command(run)
 
     def end_run(
         self,
@@ -224,7 +224,7 @@
         outcome: tasks.Outcome,
         checkpoint: str = "",
     ) -> job_writers.Batch | None:
-        """Record that a run is certainly no longer on its worker.
+        """Record that a run has ended and is no longer on its worker.
 
         Args:
             worker: The worker.
@@ -244,7 +244,7 @@
             self.filler_meter.add(specs.step_millicore_s(run.step))
         if outcome in (tasks.Outcome.DONE, tasks.Outcome.FAILED):
             has_failed = outcome is tasks.Outcome.FAILED
-            if worker.note_end(run, has_failed, now_s):
+            if worker.record_end(run, has_failed, now_s):
                 _LOG.log(
                     job_events.RUN_WORKER_PROBATION,
                     worker=worker.id,
@@ -323,7 +323,7 @@
         return self.writer.schedule_write(job, lending.cancel_lent(job))
 
     def stop_run(self, worker: workers.Worker, run: runs.Run) -> None:
-        """Order a run to stop; `end_run` is called once it has.
+        """Request that a run stops; `end_run` is called once it has.
 
         Args:
             worker: The worker.
@@ -333,7 +333,7 @@
             return
         run.is_stopping = True
         if run.was_sent:
-            worker.order(run)
+            worker.queue_command(run)
             return
         # No start was sent, so the run can't start on the worker.
         self.end_run(worker, run, tasks.Outcome.STOPPED)
@@ -445,6 +445,6 @@
         """Return the number of ready tasks that have no worker."""
         return sum(
             len(step)
-            for _job, found in self._waiting.values()
-            for step in found
+            for _job, steps in self._waiting.values()
+            for step in steps
         )
--- a/wisteriawood/cells/claims.py
+++ b/wisteriawood/cells/claims.py
@@ -10,7 +10,7 @@
 from wisteriawood.links.codecs import rows
 from wisteriawood.links import stores
 
-# Time after which an unsettled claim is given up.
+# Time after which a claim whose commit has no known outcome is given up.
 CLAIM_TIMEOUT_S = 3.0
 
 
@@ -86,7 +86,7 @@
 
     Raises:
         ChangeConflictError: Another host has changed the claim.
-        PlatformError: The claim could not be settled in time.
+        PlatformError: The outcome of the commit was not known in time.
     """
     row = ClaimRow(
         holder=host,
@@ -114,7 +114,7 @@
         count: Increases by one with each heartbeat.
         cells: Load of each cell that it holds, by name.
         is_leaving: Whether it is draining.
-        cores: Processor that it may use, in cores; 0 if unknown.
+        cores: CPU that it may use, in cores; 0 if unknown.
     """
 
     zone: str
--- a/wisteriawood/cells/orders.py
+++ b/wisteriawood/cells/command_senders.py
@@ -19,14 +19,14 @@
 START_TRIES = 3
 RETRY_DELAY_S = 0.1
 STOP_RETRY_DELAY_S = 0.3
-# Pace, in percent of full speed, at which a filler starts that no worker had
-# room for.
+# Initial pace of a pinned filler, in percent of full speed; such a filler runs
+# beside serving tasks although it exceeds the load limits.
 PINNED_PACE_PERCENT = 15
 # Time for which an unhealthy worker gets no new runs.
 UNHEALTHY_PAUSE_S = 2.0
 
 
-class OrderSender:
+class CommandSender:
     """Sends commands to one worker over one connection.
 
     Args:
@@ -34,11 +34,11 @@
         worker: The worker.
     """
 
-    __slots__ = ("_cell", "_orders", "_worker")
+    __slots__ = ("_cell", "_commands", "_worker")
 
     def __init__(self, *, cell: cells.Cell, worker: workers.Worker):
         self._cell = cell
-        self._orders = worker.orders_out.clone()
+        self._commands = worker.commands_out.clone()
         self._worker = worker
 
     async def run(self) -> None:
@@ -48,8 +48,8 @@
             CellLostError: The worker has a newer holder.
         """
         try:
-            with self._orders:
-                async for run in self._orders:
+            with self._commands:
+                async for run in self._commands:
                     await self._execute(run)
         except runners.FencedError as exc:
             raise tables.CellLostError(
@@ -65,7 +65,7 @@
             await self._start(run)
 
     def _may_be_on_worker(self, run: runs.Run) -> bool:
-        """Return whether the run is or may still start on the worker."""
+        """Return whether the run is on the worker or may still start there."""
         return self._worker.runs.get(run.name) is run
 
     async def _start(self, run: runs.Run) -> None:
@@ -83,7 +83,7 @@
                     run.pace_percent = PINNED_PACE_PERCENT
                     self._cell.send_pace(self._worker, run)
                 if run.step.is_filler:
-                    self._worker.note_shares(run.answered_at_s)
+                    self._worker.record_shares(run.answered_at_s)
                 self._cell.counters.started_s.observe(
                     run.answered_at_s - run.assigned_at_s
                 )
@@ -99,13 +99,13 @@
         )
         # A start without an answer may take effect later. Only an answered
         # stop rules that out.
-        self._worker.note_refusal(anyio.current_time())
+        self._worker.record_refusal(anyio.current_time())
         run.is_stopping = True
         await self._stop(run)
 
     async def _send_start(self, run: runs.Run) -> runners.StartAnswer | None:
         worker = self._worker
-        order = runners.StartOrder(
+        command = runners.StartOrder(
             task_name=run.name,
             run=run.number,
             payload=run.job.spec.payload,
@@ -115,7 +115,7 @@
         )
         run.was_sent = True
         try:
-            answer = await worker.link.start(order)
+            answer = await worker.link.start(command)
         except runners.OtherInstanceError:
             return None
         except runners.FencedError:
@@ -123,7 +123,7 @@
         except errors.LinkError:
             return None
         if answer is runners.StartAnswer.FENCED:
-            if worker.token > order.token:
+            if worker.token > command.token:
                 return None
             raise runners.FencedError("a start was fenced")
         return answer
@@ -140,13 +140,13 @@
             run=run.number,
             answer=answer,
         )
-        worker.note_refusal(now_s)
+        worker.record_refusal(now_s)
         if answer is runners.StartAnswer.UNHEALTHY:
             worker.avoided_until_s = now_s + UNHEALTHY_PAUSE_S
         run.mark_answered(now_s)
         if answer is runners.StartAnswer.OLD_RUN:
-            # The next report lists the end of the run, or shows that the
-            # run is not there.
+            # The next report either lists the end of the run or omits the
+            # run, which ends it.
             return
         if is_first:
             self._cell.end_run(worker, run, tasks.Outcome.STOPPED)
@@ -155,7 +155,7 @@
         # An earlier attempt without an answer may still take effect.
         run.is_answered = False
         run.is_stopping = True
-        worker.order(run)
+        worker.queue_command(run)
 
     async def _stop(self, run: runs.Run) -> None:
         while self._may_be_on_worker(run):
--- a/wisteriawood/cells/evacuations.py
+++ b/wisteriawood/cells/evacuations.py
@@ -11,9 +11,10 @@
 def evacuate(cell: cells.Cell, now_s: float) -> None:
     """Stop runs on draining workers that can move without losing work.
 
-    A run is stopped only if another worker has room for it. Standing tasks
-    restart there, one per worker at a time, and tasks with checkpoints
-    resume. All other tasks may still finish before the worker stops.
+    A run is stopped only if another worker has enough free capacity for it.
+    Standing tasks restart there, one per draining worker at a time, and
+    tasks with checkpoints resume there. All other tasks may still finish
+    before the worker stops.
 
     Args:
         cell: The cell.
@@ -33,7 +34,7 @@
             continue
         if not run.step.is_standing and not run.step.is_checkpointing:
             continue
-        if not any(other.has_room(run.step) for other in others):
+        if not any(other.has_capacity_for(run.step) for other in others):
             continue
         _LOG.log(
             job_events.RUN_EVACUATED,
--- a/wisteriawood/cells/holders.py
+++ b/wisteriawood/cells/holders.py
@@ -1,4 +1,4 @@
-"""Runs a held cell: loads its jobs, follows submissions and workers."""
+"""Manages a held cell: its jobs, new submissions and its workers."""
 
 import typing
 
@@ -7,11 +7,11 @@
 
 from wisteriawood.cells import cells
 from wisteriawood.cells import claims
+from wisteriawood.cells import command_senders
 from wisteriawood.cells import evacuations
 from wisteriawood.cells import job_writers
 from wisteriawood.cells import leases
 from wisteriawood.cells import lending
-from wisteriawood.cells import orders
 from wisteriawood.cells import pacers
 from wisteriawood.cells import regrouping
 from wisteriawood.cells import runs
@@ -33,7 +33,8 @@
 # Fencing tokens per epoch; each restart of a worker uses one.
 TOKENS_PER_EPOCH = 1000
 TICK_PERIOD_S = 0.25
-# Time for which a holder that can't reach the store still renews leases.
+# Time for which a former holder that can't reach the store is assumed to
+# renew leases.
 RENEW_WITHOUT_STORE_S = 12.0
 EXPIRY_PERIOD_TICKS = 40
 LOAD_LOG_PERIOD_TICKS = 8
@@ -164,22 +165,20 @@
         table = tables.specs_table(tables.zone_of_cell(name))
         while True:
             try:
-                handed_in = await stores.read_table(self.cell.store, table)
-                progress = await stores.read_table(
-                    self.cell.store, tables.JOBS
-                )
+                submissions = await stores.read_table(self.cell.store, table)
+                states = await stores.read_table(self.cell.store, tables.JOBS)
                 break
             except errors.PlatformError as exc:
                 _LOG.log(
                     job_events.CELL_LOAD_FAILED, cell=name, cause=str(exc)
                 )
                 await anyio.sleep(feeds.RETRY_DELAY_S)
-        states = {row.at.key: row for row in progress.rows}
-        for row in handed_in.rows:
+        state_rows = {row.at.key: row for row in states.rows}
+        for row in submissions.rows:
             if not row.at.key.endswith(tables.CANCEL_SUFFIX):
-                self._load_job(row, states.get(row.at.key))
-        self._process_cancels(handed_in.rows)
-        return handed_in.version
+                self._load_job(row, state_rows.get(row.at.key))
+        self._process_cancels(submissions.rows)
+        return submissions.version
 
     def _load_job(
         self, row: stores.StoredRow, state: stores.StoredRow | None
@@ -252,12 +251,12 @@
         self.listed_workers = fleet
         if not self.is_open:
             return
-        for worker_id, found in fleet.items():
+        for worker_id, registration in fleet.items():
             worker = self.cell.fleet.get(worker_id)
             if worker is None:
-                self._add_worker(found)
+                self._add_worker(registration)
                 continue
-            worker.update(found)
+            worker.update(registration)
         for worker_id, worker in self.cell.fleet.items():
             if worker_id not in fleet and not worker.is_gone:
                 worker.is_gone = True
@@ -268,11 +267,11 @@
                 )
         self.cell.request_placement()
 
-    def _add_worker(self, found: runners.Registration) -> None:
+    def _add_worker(self, registration: runners.Registration) -> None:
         cell = self.cell
         worker = workers.Worker(
-            registration=found,
-            link=self._dial(found),
+            registration=registration,
+            link=self._dial(registration),
             token=cell.claim.epoch * TOKENS_PER_EPOCH,
             lease=leases.Lease(
                 length_s=self._lease_s,
@@ -285,8 +284,10 @@
         group.start_soon(
             worker_sessions.WorkerSession(cell=cell, worker=worker).run
         )
-        for _number in range(orders.CONNECTIONS_PER_WORKER):
-            group.start_soon(orders.OrderSender(cell=cell, worker=worker).run)
+        for _number in range(command_senders.CONNECTIONS_PER_WORKER):
+            group.start_soon(
+                command_senders.CommandSender(cell=cell, worker=worker).run
+            )
 
     async def _tick_forever(self) -> None:
         while True:
@@ -305,7 +306,11 @@
                 await self._remove_expired_jobs()
 
     def _log_load(self) -> None:
-        """Log how full the workers are."""
+        """Log the load of each worker.
+
+        Of each: serving tasks, runs, free CPU and CPU requested by fillers
+        in cores, free memory in gigabytes.
+        """
         _LOG.log(
             job_events.CELL_LOAD,
             cell=self.cell.name,
--- a/wisteriawood/cells/interference_models.py
+++ b/wisteriawood/cells/interference_models.py
@@ -1,5 +1,7 @@
 """Estimates from tail latencies how much fillers slow serving tasks.
 
+A serving task is a task with a bound on its tail latency (tail_target_ms).
+
 The tail latency of a serving task grows like the wait in a queue, by
 1 / (1 - load). The load is the sum of a baseline, which the requests of the
 task's callers cause, and of the load that the fillers on the same worker
@@ -12,12 +14,13 @@
 import math
 import typing
 
-# Tail ratio of a task without load: its tail latency divided by its bound. It
-# only sets the scale of loads: an error scales loads and weights alike.
+# Latency ratio of a task without load: its tail latency divided by its bound.
+# It only sets the scale of loads: an error scales loads and weights alike.
 IDLE_LATENCY_RATIO = 0.2
 # Load at which a tail latency reaches its bound.
 BOUND_LOAD = 1.0 - IDLE_LATENCY_RATIO
-# Higher loads can't be told apart by the tail latency of a full queue.
+# Highest load that a tail latency can show; above it, queues are full and
+# loads can't be told apart.
 MAX_LOAD = 0.95
 # Baseline load of a serving task before its first report.
 PRIOR_BASELINE = 0.48
@@ -28,8 +31,8 @@
 MAX_BASELINE_RISE_PER_S = 0.08
 # Highest baseline load expected of an image without reports.
 PRIOR_BASELINE_PEAK = 0.6
-# Part of the distance to a higher or lower load by which the peak of an image
-# moves with each report.
+# Share of the difference between a reported load and the peak of its image
+# that is added to the peak, for a load above and below the peak.
 PEAK_RISE_RATE = 0.2
 PEAK_DECAY_RATE = 0.001
 # Variance of one measurement, including the error of the queueing formula.
@@ -42,13 +45,13 @@
 MAX_WEIGHT = 12.0
 # Standard deviations that conservative estimates add to a weight.
 CONSERVATIVE_DEVIATIONS = 0.15
-# Weight from which a filler image counts as heavy beside a serving image: two
-# or three fillers of usual size then suffice to exceed the bound.
-HEAVY_WEIGHT = 0.8
+# Weight from which a filler image counts as incompatible with a serving image:
+# two or three fillers of usual size then suffice to exceed the bound.
+MIN_INCOMPATIBLE_WEIGHT = 0.8
 # Standard deviation above which the weight of a pair counts as unknown.
 MAX_KNOWN_DEVIATION = 0.6
-# Updates after which cached sets of heavy fillers are computed again.
-HEAVY_CACHE_UPDATES = 64
+# Updates after which cached sets of incompatible fillers are computed again.
+INCOMPATIBLE_CACHE_UPDATES = 64
 # Pairs shared with other cells; bounds the size of the shared row.
 MAX_SHARED_PAIRS = 200
 # Lower bound of the variance of a weight that another cell shared.
@@ -132,7 +135,7 @@
     __slots__ = (
         "_combined",
         "_fillers",
-        "_heavy_cache",
+        "_incompatible_cache",
         "_local_pairs",
         "_peaks",
         "_remote_pairs",
@@ -145,14 +148,14 @@
         self._remote_pairs: dict[str, dict[tuple[str, str], PairEstimate]] = {}
         self._combined: dict[tuple[str, str], PairEstimate] = {}
         self._updates_since_clear = 0
-        self._heavy_cache: dict[str, frozenset[str]] = {}
+        self._incompatible_cache: dict[str, frozenset[str]] = {}
         self._fillers: set[str] = set()
 
     def _count_update(self) -> None:
         self._updates_since_clear += 1
-        if self._updates_since_clear >= HEAVY_CACHE_UPDATES:
+        if self._updates_since_clear >= INCOMPATIBLE_CACHE_UPDATES:
             self._updates_since_clear = 0
-            self._heavy_cache.clear()
+            self._incompatible_cache.clear()
 
     def _pair(self, serving: str, filler: str) -> PairEstimate:
         """Return the combined estimate of all cells for a pair."""
@@ -220,7 +223,7 @@
     def projected_baseline(
         self, serving: str, baseline: BaselineLoad, lookahead_s: float
     ) -> float:
-        """Return the highest baseline load expected within some time.
+        """Return the highest baseline load expected within lookahead_s.
 
         Args:
             serving: Image of the serving task.
@@ -237,20 +240,21 @@
         return max(1, len(self._fillers))
 
     def incompatible_fillers(self, serving: str) -> frozenset[str]:
-        """Return the filler images known to be heavy for a serving image.
+        """Return the filler images known to be incompatible with an image.
 
         Args:
             serving: Image of the serving task.
         """
-        found = self._heavy_cache.get(serving)
+        found = self._incompatible_cache.get(serving)
         if found is None:
             found = frozenset(
                 filler
                 for filler in self._fillers
-                if self._pair(serving, filler).weight >= HEAVY_WEIGHT
+                if self._pair(serving, filler).weight
+                >= MIN_INCOMPATIBLE_WEIGHT
                 and self.is_known(serving, filler)
             )
-            self._heavy_cache[serving] = found
+            self._incompatible_cache[serving] = found
         return found
 
     def learn(
@@ -274,6 +278,7 @@
         load = load_from_latency_ratio(latency_ratio)
         expected = baseline.mean + self.added_load(serving, shares)
         if load >= MAX_LOAD and expected >= MAX_LOAD:
+            # Above MAX_LOAD, measured and expected load can't be compared.
             return
         pairs = [
             (
@@ -341,17 +346,17 @@
         received = self._remote_pairs.setdefault(cell, {})
         for name, (weight, variance) in shared.items():
             serving, _bar, filler = name.partition("|")
-            at = (serving, filler)
-            known = received.get(at)
+            pair = (serving, filler)
+            known = received.get(pair)
             if known and known.weight == weight and known.variance == variance:
                 continue
-            received[at] = PairEstimate(
+            received[pair] = PairEstimate(
                 weight=float(weight),
                 variance=max(float(variance), MIN_SHARED_VARIANCE),
             )
-            self._combined.pop(at, None)
+            self._combined.pop(pair, None)
             self._fillers.add(filler)
-            self._heavy_cache.clear()
+            self._incompatible_cache.clear()
 
 
 def _combine(parts: list[PairEstimate]) -> PairEstimate:
--- a/wisteriawood/cells/job_writers.py
+++ b/wisteriawood/cells/job_writers.py
@@ -14,9 +14,9 @@
 # Time for which changes are collected before a transaction, so that the end
 # of a run and the start of its successor share one.
 GROUP_COMMIT_DELAY_S = 0.015
-# Duration of a transaction from which commits count as delayed.
-PROMPT_COMMIT_S = 0.3
-# Rows of one transaction; leaves room for the row of the claim.
+# Duration from which a transaction counts as slow.
+SLOW_COMMIT_S = 0.3
+# Most rows of jobs in one transaction, besides the row of the claim.
 MAX_ROWS = stores.MAX_ENTRIES - 2
 # Bytes of one transaction; base64 adds a third, and the store accepts 1 MB.
 MAX_TRANSACTION_BYTES = 600_000
@@ -50,7 +50,7 @@
 
     Args:
         store: The store.
-        claim_at: Key of the claim's row.
+        claim_key: Key of the claim's row.
         claim_version: Expected version of that row.
 
     Attributes:
@@ -59,7 +59,7 @@
 
     __slots__ = (
         "_batches",
-        "_claim_at",
+        "_claim_key",
         "_claim_version",
         "_is_closed",
         "_store",
@@ -72,11 +72,11 @@
         self,
         *,
         store: stores.Store,
-        claim_at: stores.RowKey,
+        claim_key: stores.RowKey,
         claim_version: int,
     ):
         self._store = store
-        self._claim_at = claim_at
+        self._claim_key = claim_key
         self._claim_version = claim_version
         self._batches: dict[str, Batch] = {}
         self._wake: dict[str, anyio.Event] = {}
@@ -121,13 +121,13 @@
                 raise tables.CellLostError("the cell has another holder")
 
     def is_keeping_up(self, now_s: float) -> bool:
-        """Return whether no transaction is taking unusually long.
+        """Return whether no transaction in progress is slow.
 
         Args:
             now_s: Monotonic time.
         """
         return all(
-            now_s - since_s < PROMPT_COMMIT_S
+            now_s - since_s < SLOW_COMMIT_S
             for since_s in self._writing_since_s.values()
         )
 
@@ -189,8 +189,8 @@
         extra_rows: dict[str, dict[stores.RowKey, bytes | None]],
     ) -> tuple[stores.Change, list[jobs.Job]]:
         change = stores.Change()
-        if self._claim_at.part == bucket:
-            change.expected[self._claim_at] = self._claim_version
+        if self._claim_key.part == bucket:
+            change.expected[self._claim_key] = self._claim_version
         included: list[jobs.Job] = []
         size_bytes = 0
         for job in waiting[:MAX_ROWS]:
--- a/wisteriawood/cells/leases.py
+++ b/wisteriawood/cells/leases.py
@@ -1,9 +1,10 @@
 """The lease of a worker, as its holder tracks it."""
 
-# Factor by which a worker's monotonic clock may be slow; the platform's bound
-# is 2%.
+# Highest ratio of the time here to the time on a worker's monotonic clock;
+# the platform limits the drift to 2%.
 CLOCK_DRIFT_RATIO = 1.02
-# Added to the time at which a lease counts as lapsed, for late timers.
+# Added to the end of a lease before it counts as lapsed, as timers may fire
+# late.
 LAPSE_MARGIN_S = 0.15
 
 
@@ -16,8 +17,8 @@
             may have granted has lapsed.
 
     Attributes:
-        granted_until_ms: Latest end that was ever sent to the worker, on
-            the worker's clock.
+        granted_until_ms: Latest end granted so far, in milliseconds of the
+            worker's clock.
         lapsed_at_s: Monotonic time from which the lease has certainly
             ended.
     """
--- a/wisteriawood/cells/lending.py
+++ b/wisteriawood/cells/lending.py
@@ -1,4 +1,4 @@
-"""Lending of standing tasks to cells that have room for them.
+"""Lending of standing tasks to cells with free capacity for them.
 
 A lent task becomes a separate job in the other cell. Its rows are written in
 the same transaction as those of the lending job, so that only one cell may
@@ -23,29 +23,30 @@
     from wisteriawood.cells import cells
 
 _LOG = events.Logger(name=__name__)
-# Least time that a standing task waits for room in its own cell.
+# Least time for which a standing task waits for capacity in its own cell.
 MIN_WAIT_S = 0.8
-# Most tasks lent in one pass, as the loads of other cells are a second old.
+# Most tasks lent in one pass; bounded because the reported loads of other
+# cells are about a second old.
 MAX_LENT_PER_PASS = 4
 
 
 def choose_cell(loads: dict[str, dict], step: specs.StepSpec) -> str:
     """Return the cell with most free CPU for a task; empty for none.
 
-    One of its workers must have room for the task now. Tasks waiting there
-    don't count, since standing tasks are started before them.
+    One of its workers must have enough free CPU for the task now. Tasks
+    waiting there don't count, since standing tasks are started before them.
 
     Args:
         loads: Load that the holders of the other cells last reported, by
             cell.
         step: Step of the task.
     """
-    found = [
+    candidates = [
         (load.get("free", 0), cell)
         for cell, load in loads.items()
         if load.get("largest", 0) >= step.cpu_millicores
     ]
-    return max(found, default=(0, ""))[1]
+    return max(candidates, default=(0, ""))[1]
 
 
 def _lent_id(job: jobs.Job, task: tasks.Task) -> str:
@@ -107,7 +108,7 @@
 
 
 class Lender:
-    """Lends standing tasks that don't fit to cells with room.
+    """Lends standing tasks that don't fit here to cells with free capacity.
 
     Args:
         cell: The cell that lends.
@@ -153,7 +154,7 @@
     def _has_waited_long_enough(
         self, task: tasks.Task, job: jobs.Job, now_s: float
     ) -> bool:
-        """Return whether a task has waited for room for the least time."""
+        """Return whether a task has waited for at least MIN_WAIT_S."""
         name = job.task_name(task)
         since_s, seen_s = self._waiting_since_s.get(name, (now_s, now_s))
         if now_s - seen_s > MIN_WAIT_S:
--- a/wisteriawood/cells/loads.py
+++ b/wisteriawood/cells/loads.py
@@ -41,8 +41,8 @@
 def _filler_backlog(cell: cells.Cell) -> int:
     """Return the estimated work of fillers ahead of a new job.
 
-    Jobs whose result has no value left are placed after it, so they don't
-    count.
+    Jobs whose result has no value left are placed after a new job, so they
+    don't count.
 
     Returns:
         Work in millicore seconds.
--- a/wisteriawood/cells/members.py
+++ b/wisteriawood/cells/members.py
@@ -61,13 +61,13 @@
         name: Name of this host.
         zone: Its availability zone.
         incarnation: Identifier of its process.
-        cores: Processor that it may use, in cores; 0 if unknown.
+        cores: CPU that it may use, in cores; 0 if unknown.
 
     Attributes:
         is_leaving: Whether this host is draining.
         heartbeat_written_at_s: Monotonic time of this host's last
             successful heartbeat; 0 before the first.
-        members: Hosts by name.
+        by_name: Hosts by name.
         claims: Newest known claim of each cell.
         claim_feed: Feed of the claims.
         heartbeat_feed: Feed of the heartbeats.
@@ -77,6 +77,7 @@
         "_claim_seen_at_s",
         "_heartbeat_count",
         "_store",
+        "by_name",
         "claim_feed",
         "claims",
         "cores",
@@ -84,7 +85,6 @@
         "heartbeat_written_at_s",
         "incarnation",
         "is_leaving",
-        "members",
         "name",
         "zone",
     )
@@ -107,7 +107,7 @@
         self.cores = cores
         self.is_leaving = False
         self.heartbeat_written_at_s = 0.0
-        self.members: dict[str, Member] = {}
+        self.by_name: dict[str, Member] = {}
         self.claims: dict[str, claims.Claim] = {}
         self.claim_feed = feeds.Feed(
             store=store, table=tables.CLAIMS, take=self._process_claims
@@ -153,19 +153,19 @@
                     job_events.BEAT_UNREADABLE, host=row.at.key, cause=str(exc)
                 )
                 continue
-            known = self.members.get(row.at.key)
+            known = self.by_name.get(row.at.key)
             if known is not None and not _is_newer(heartbeat, known.heartbeat):
                 continue
-            self.members[row.at.key] = Member(
+            self.by_name[row.at.key] = Member(
                 heartbeat=heartbeat, heartbeat_seen_at_s=now_s
             )
 
     def silence_s(self, host: str) -> float:
-        """Return for how long a host has provably sent no heartbeat.
+        """Return for how long a host has certainly sent no heartbeat.
 
         Time in which this host could not read heartbeats does not count.
-        Nor does any time while the store rejects this host's own
-        heartbeats, since it may reject those of the others too.
+        The result is 0 while the store rejects this host's own heartbeats,
+        since it may reject those of the others too.
 
         Args:
             host: Name of the host.
@@ -182,7 +182,7 @@
             return 0.0
         if now_s - self.heartbeat_written_at_s > MAX_OWN_HEARTBEAT_AGE_S:
             return 0.0
-        member = self.members.get(host)
+        member = self.by_name.get(host)
         since_s = readable_since_s
         if member is not None:
             since_s = max(since_s, member.heartbeat_seen_at_s)
@@ -211,7 +211,7 @@
         It counts only if it was seen after the claim, or if it is still
         the newest one INCARNATION_MISMATCH_S later.
         """
-        member = self.members.get(claim.row.holder)
+        member = self.by_name.get(claim.row.holder)
         if member is None:
             return False
         if member.heartbeat.incarnation == claim.row.incarnation:
@@ -225,7 +225,7 @@
         """Return the loads of the cells whose holders are alive."""
         now_s = anyio.current_time()
         found = {}
-        for name, member in self.members.items():
+        for name, member in self.by_name.items():
             if now_s - member.heartbeat_seen_at_s > LIVENESS_TIMEOUT_S:
                 continue
             for cell, load in member.heartbeat.cells.items():
@@ -237,7 +237,7 @@
     def all_loads(self) -> dict[str, dict]:
         """Return the newest known load of each cell."""
         found: dict[str, dict] = {}
-        for member in self.members.values():
+        for member in self.by_name.values():
             for cell, load in member.heartbeat.cells.items():
                 known = found.get(cell)
                 if known is None or known["epoch"] < load["epoch"]:
@@ -249,7 +249,7 @@
         now_s = anyio.current_time()
         live = [
             member
-            for member in self.members.values()
+            for member in self.by_name.values()
             if not member.heartbeat.is_leaving
             and now_s - member.heartbeat_seen_at_s
             <= _liveness_timeout_s(member)
@@ -264,9 +264,9 @@
                 more of them does not count.
         """
         return any(
-            self.members[name].heartbeat.cores
+            self.by_name[name].heartbeat.cores
             >= STRONGER_CORES_RATIO * self.cores
-            and len(self.members[name].heartbeat.cells) <= cells_held
+            and len(self.by_name[name].heartbeat.cells) <= cells_held
             for name in self.live_hosts(self.zone)
             if name != self.name and self.cores > 0
         )
@@ -274,12 +274,14 @@
     def live_hosts(self, zone: str) -> list[str]:
         """Return the names of a zone's live hosts that don't drain.
 
+        Hosts count as live while this host can't tell (see `silence_s`).
+
         Args:
             zone: The availability zone.
         """
         return sorted(
             name
-            for name, member in self.members.items()
+            for name, member in self.by_name.items()
             if member.heartbeat.zone == zone
             and not member.heartbeat.is_leaving
             and self.silence_s(name) < _liveness_timeout_s(member)
--- a/wisteriawood/cells/pacers.py
+++ b/wisteriawood/cells/pacers.py
@@ -10,22 +10,23 @@
 from wisteriawood.telemetry import job_events
 
 _LOG = events.Logger(name=__name__)
-# Load of a serving task from which the fillers on its worker are slowed down,
-# and the load that slowing aims at and speeding up must not exceed.
+# Load of a serving task from which the fillers on its worker are slowed down.
 SLOWDOWN_LOAD = interference_models.BOUND_LOAD - 0.035
+# Load to which slowing reduces it, and which speeding up must not exceed.
 TARGET_LOAD = interference_models.BOUND_LOAD - 0.08
 # Time over the bound after which all fillers relevant to the task are paused;
-# well below the four seconds that count as harm.
+# well below the four seconds after which this counts as a violation.
 MAX_OVERLOAD_S = 1.2
-# Fillers that add less load are ignored.
+# Added load below which a filler is not relevant to a serving task.
 MIN_RELEVANT_LOAD = 0.015
 # Time without filler starts on a worker after its fillers were paused.
 FILLER_PAUSE_S = 1.5
-# Least time between two steps on one worker; a tail covers half a second.
-STEP_INTERVAL_S = 0.6
-STEP_UP_PERCENT = 25
-# A filler slowed below this share of its speed is stopped if it can resume on
-# another worker from a checkpoint.
+# Least time between two changes of pace on one worker; a reported tail latency
+# covers half a second.
+PACE_CHANGE_INTERVAL_S = 0.6
+SPEEDUP_PERCENT = 25
+# Pace below which a filler is stopped if it can resume on another worker from
+# a checkpoint.
 MOVE_BELOW_PERCENT = 30
 
 
@@ -36,12 +37,12 @@
         cell: The cell.
     """
 
-    __slots__ = ("_cell", "_overloaded_since_s", "_stepped_at_s")
+    __slots__ = ("_cell", "_overloaded_since_s", "_pace_changed_at_s")
 
     def __init__(self, *, cell: cells.Cell):
         self._cell = cell
         self._overloaded_since_s: dict[str, float] = {}
-        self._stepped_at_s: dict[str, float] = {}
+        self._pace_changed_at_s: dict[str, float] = {}
 
     def tick(self) -> None:
         """Slow down or speed up fillers as the tail latencies require."""
@@ -65,15 +66,15 @@
         ]
         if most_loaded is not None and overloaded_s >= MAX_OVERLOAD_S:
             worker.no_fillers_until_s = now_s + FILLER_PAUSE_S
-            self._halt(worker, fillers, most_loaded)
+            self._pause_relevant(worker, fillers, most_loaded)
             return
-        since_s = now_s - self._stepped_at_s.get(worker.id, 0.0)
-        if not fillers or since_s < STEP_INTERVAL_S:
+        since_s = now_s - self._pace_changed_at_s.get(worker.id, 0.0)
+        if not fillers or since_s < PACE_CHANGE_INTERVAL_S:
             return
         if most_loaded is not None and load >= SLOWDOWN_LOAD:
-            self._step_down(worker, fillers, most_loaded, load)
+            self._slow_down(worker, fillers, most_loaded, load)
         else:
-            self._step_up(worker, fillers)
+            self._speed_up(worker, fillers)
 
     def _find_most_loaded(
         self, worker: workers.Worker, now_s: float
@@ -111,16 +112,16 @@
         weight = model.weight(most_loaded.step.image, run.step.image)
         return weight * worker.share_of(run)
 
-    def _halt(
+    def _pause_relevant(
         self,
         worker: workers.Worker,
         fillers: list[runs.Run],
         most_loaded: runs.Run,
     ) -> None:
-        """Pause all relevant fillers, or move them to other workers.
+        """Pause all relevant fillers; stop those that can resume elsewhere.
 
-        Relevant are fillers that add enough load and those whose weight is
-        unknown.
+        A filler is relevant if it adds at least MIN_RELEVANT_LOAD or if its
+        weight is unknown. If none of these runs, all fillers are paused.
         """
         affected = [
             run
@@ -131,7 +132,7 @@
             )
         ]
         if not any(run.pace_percent for run in affected):
-            # Even the load of small fillers may add up.
+            # Fillers that each add little load may together add much.
             affected = fillers
         if not any(run.pace_percent for run in affected):
             return
@@ -140,7 +141,7 @@
         self._log_paces(worker, most_loaded, fillers)
         self._evict_slowed(worker, fillers)
 
-    def _step_down(
+    def _slow_down(
         self,
         worker: workers.Worker,
         fillers: list[runs.Run],
@@ -164,7 +165,7 @@
         self._log_paces(worker, most_loaded, fillers)
         self._evict_slowed(worker, fillers)
 
-    def _step_up(
+    def _speed_up(
         self, worker: workers.Worker, fillers: list[runs.Run]
     ) -> None:
         """Speed up one slowed filler if the projected loads allow it."""
@@ -181,7 +182,7 @@
             )
 
         run = min(slowed, key=lambda run: (_highest_weight(run), run.name))
-        percent = min(100, run.pace_percent + STEP_UP_PERCENT)
+        percent = min(100, run.pace_percent + SPEEDUP_PERCENT)
         share = run.step.cpu_millicores / worker.capacity_millicores()
         more = share * (percent - run.pace_percent) / 100
         for image, load in loads.items():
@@ -209,10 +210,10 @@
             return
         run.pace_percent = percent
         now_s = anyio.current_time()
-        self._stepped_at_s[worker.id] = now_s
+        self._pace_changed_at_s[worker.id] = now_s
         self._cell.counters.paces.labels(cause=cause).inc()
         self._cell.send_pace(worker, run)
-        worker.note_shares(now_s)
+        worker.record_shares(now_s)
 
     def _log_paces(
         self,
--- a/wisteriawood/cells/placers.py
+++ b/wisteriawood/cells/placers.py
@@ -1,4 +1,4 @@
-"""Assignment of waiting tasks to workers, and its order."""
+"""Assignment of waiting tasks to workers, in order of their jobs."""
 
 import math
 import typing
@@ -15,12 +15,14 @@
 # Jobs in a row without a placed task after which a pass ends, to bound its
 # time. Tasks of a class that did not fit are skipped for the rest of a pass.
 MAX_CONSECUTIVE_MISSES = 500
-# Step of memory within which tasks belong to the same placement class.
+# Granularity of the memory request in a placement class; more than most tasks
+# request.
 MEMORY_CLASS_MB = 4096
-# Time without a running task after which a job of fillers gets one started
+# Time without a running task after which one task of a filler job is started
 # where it interferes least; the filler pacer then slows it as far as needed.
 IDLE_JOB_TIMEOUT_S = 2.0
-# Such tasks on one worker; together they use less CPU than one at full speed.
+# Most tasks started this way (pinned) on one worker; at their initial pace,
+# together they use less CPU than one at full speed.
 MAX_PINNED_PER_WORKER = 4
 # Multiple of its objective after which the result of a job has no value.
 EXPIRY_FACTOR = 3.0
@@ -60,11 +62,11 @@
     """Assigns waiting tasks to workers.
 
     Args:
-        policy: Chooses among the workers that have room.
+        policy: Chooses among the workers with enough free capacity.
         model: Estimates of the load that fillers add to serving tasks.
 
     Attributes:
-        is_intake_idle: Whether no job was submitted for a while. Idle
+        is_intake_idle: Whether no job was submitted recently. Idle
             filler jobs are started only then, since jobs that can still
             meet their objective need the CPU more.
     """
@@ -110,7 +112,7 @@
         usable = [worker for worker in fleet if worker.is_usable(now_s)]
         if not usable:
             return []
-        found: list[tuple[workers.Worker, runs.Run]] = []
+        assigned: list[tuple[workers.Worker, runs.Run]] = []
         self._unplaced_millicores.clear()
         for job_id in self._idle_since_s.keys() - waiting.keys():
             del self._idle_since_s[job_id]
@@ -122,24 +124,24 @@
             placed = 0
             for step_tasks in steps:
                 placed += self._place_step(
-                    job, step_tasks, usable, found, now_s
+                    job, step_tasks, usable, assigned, now_s
                 )
             misses = 0 if placed else misses + 1
             if misses >= MAX_CONSECUTIVE_MISSES:
                 break
-        return found
+        return assigned
 
     def _place_step(
         self,
         job: jobs.Job,
         step_tasks: list[tasks.Task],
         usable: list[workers.Worker],
-        found: list[tuple[workers.Worker, runs.Run]],
+        assigned: list[tuple[workers.Worker, runs.Run]],
         now_s: float,
     ) -> int:
         step = job.step_of(step_tasks[0])
         if step.is_gang:
-            return self._place_gang(job, step_tasks, usable, found, now_s)
+            return self._place_gang(job, step_tasks, usable, assigned, now_s)
         placed = 0
         placement_class = _placement_class(step)
         for task in step_tasks:
@@ -154,7 +156,7 @@
                         step.cpu_millicores
                     )
                 break
-            found.append((worker, _assign(job, task, worker, now_s)))
+            assigned.append((worker, _assign(job, task, worker, now_s)))
             placed += 1
         if (
             not placed
@@ -163,12 +165,12 @@
             and self._has_idled_too_long(job, now_s)
         ):
             return self._place_least_disruptive(
-                job, step_tasks[0], usable, found, now_s
+                job, step_tasks[0], usable, assigned, now_s
             )
         return placed
 
     def _has_idled_too_long(self, job: jobs.Job, now_s: float) -> bool:
-        """Return whether no task of a job has run for a while."""
+        """Return whether no task of a job has run for IDLE_JOB_TIMEOUT_S."""
         if any(t.phase is tasks.Phase.ASSIGNED for t in job.all_tasks()):
             self._idle_since_s.pop(job.id, None)
             return False
@@ -180,10 +182,10 @@
         job: jobs.Job,
         task: tasks.Task,
         usable: list[workers.Worker],
-        found: list[tuple[workers.Worker, runs.Run]],
+        assigned: list[tuple[workers.Worker, runs.Run]],
         now_s: float,
     ) -> int:
-        """Place one filler where the load stays lowest, even if too high."""
+        """Place one filler where the load stays lowest, at any load."""
         step = job.step_of(task)
         candidates = [
             worker
@@ -203,7 +205,7 @@
         )
         run = _assign(job, task, worker, now_s)
         run.is_pinned = True
-        found.append((worker, run))
+        assigned.append((worker, run))
         del self._idle_since_s[job.id]
         return 1
 
@@ -228,7 +230,7 @@
         usable: list[workers.Worker],
         now_s: float,
     ) -> list[workers.Worker]:
-        """Return workers with room, on the rack of the data if possible."""
+        """Return workers that accept a task, near its data if possible."""
         name = job.task_name(task)
         candidates = [
             worker for worker in usable if worker.accepts(step, name, now_s)
@@ -247,7 +249,7 @@
         job: jobs.Job,
         step_tasks: list[tasks.Task],
         usable: list[workers.Worker],
-        found: list[tuple[workers.Worker, runs.Run]],
+        assigned: list[tuple[workers.Worker, runs.Run]],
         now_s: float,
     ) -> int:
         """Assign all tasks of a gang or none, on one rack if possible."""
@@ -269,7 +271,7 @@
                 run = _assign(job, task, worker, now_s, number=number)
                 placed.append((worker, run))
             if len(placed) == len(step_tasks):
-                found.extend(placed)
+                assigned.extend(placed)
                 return len(placed)
             for worker, run in placed:
                 worker.remove_run(run)
@@ -279,9 +281,9 @@
 
 
 def _placement_class(step: specs.StepSpec) -> tuple:
-    """Return the key of steps that fit on the same workers, CPU apart.
+    """Return the key of steps that fit on the same workers but for CPU.
 
-    Memory is rounded down to steps larger than the requests of most tasks.
+    Memory is rounded down to a multiple of MEMORY_CLASS_MB.
     """
     return (
         step.is_filler,
--- a/wisteriawood/cells/probations.py
+++ b/wisteriawood/cells/probations.py
@@ -2,7 +2,8 @@
 
 # Consecutive failures, of at least two jobs, that put a worker on probation.
 PROBATION_FAILURES = 4
-# Length of the first probation, doubled for each further one up to the limit.
+# Length of the first probation. It doubles for each further one, up to the
+# maximum, until a run succeeds.
 BASE_PROBATION_S = 4.0
 MAX_PROBATION_S = 30.0
 
@@ -17,7 +18,7 @@
         self._failed_jobs: set[str] = set()
         self._probations = 0
 
-    def note_end(self, job_id: str, has_failed: bool) -> float:
+    def record_end(self, job_id: str, has_failed: bool) -> float:
         """Count the end of a run.
 
         Args:
--- a/wisteriawood/cells/regrouping.py
+++ b/wisteriawood/cells/regrouping.py
@@ -1,6 +1,6 @@
-"""Moving serving tasks to open workers to more fillers.
+"""Moving serving tasks so that workers can run more fillers.
 
-A worker can run a filler only if it is not heavy for any of the serving tasks
+A worker can run a filler only if it is compatible with all serving tasks
 there. When the first serving tasks are placed, the weights of the fillers are
 unknown; later a few serving tasks may exclude many fillers from a worker. Such
 tasks are moved, one at a time, to workers that exclude the same fillers
@@ -15,13 +15,14 @@
 from wisteriawood.telemetry import job_events
 
 _LOG = events.Logger(name=__name__)
-# CPU that a move must open to fillers, multiplied by the share of the waiting
-# fillers that can use it. It makes up for the second that the moved task is
-# away within a few seconds.
+# Least gain of a move: the CPU that it opens to fillers, multiplied by the
+# share of the waiting fillers that can use it. A move interrupts its task for
+# about a second; with this gain, it pays off within a few seconds.
 MIN_GAIN_MILLICORES = 2500
 # Time for which tasks of a moved image are not placed on the same worker.
 IMAGE_BLOCK_S = 20.0
-# Least time between two moves in a cell, so that the first task is placed.
+# Least time between two moves in a cell, so that a moved task is placed before
+# the next move.
 MOVE_INTERVAL_S = 0.7
 # Least run time of a task before it is moved.
 MIN_RUN_BEFORE_MOVE_S = 4.0
@@ -150,8 +151,8 @@
         """Return whether a run fits without excluding more fillers."""
         if not worker.accepts(run.step, run.name, now_s):
             return False
-        heavy = self._cell.model.incompatible_fillers(run.step.image)
-        return heavy <= worker.excluded_fillers(self._cell.model)
+        excluded = self._cell.model.incompatible_fillers(run.step.image)
+        return excluded <= worker.excluded_fillers(self._cell.model)
 
     def _can_interrupt(self, run: runs.Run) -> bool:
         """Return whether the task of a run may be interrupted now.
@@ -177,5 +178,5 @@
             other is not None
             and other.is_confirmed
             and not other.is_stopping
-            and other.percent >= 100
+            and other.speed_percent >= 100
         )
--- a/wisteriawood/cells/runs.py
+++ b/wisteriawood/cells/runs.py
@@ -6,7 +6,7 @@
 
 
 class Run:
-    """A run that may be on a worker, which keeps its capacity reserved.
+    """A run that may be on a worker, where its capacity is reserved.
 
     Args:
         job: The job.
@@ -16,17 +16,17 @@
     Attributes:
         name: Name of the task on the worker.
         number: Number of the run.
-        is_answered: Whether the worker has answered the last order, so
+        is_answered: Whether the worker has answered the last command, so
             that the run has started or can no longer start.
         answered_at_s: Monotonic time of that answer.
         is_confirmed: Whether the worker has started the run.
         started_at_s: Monotonic time at which the start was confirmed.
         is_stopping: Whether the run is to be stopped.
-        is_pinned: Whether the run stays on its worker however much it is
-            slowed, since its job fitted nowhere else.
+        is_pinned: Whether the run is not moved to another worker however
+            much it is slowed, since its job fitted nowhere.
         was_sent: Whether a start may have been sent to the worker.
         checkpoint: Newest checkpoint that the worker has reported.
-        percent: Reported speed, in percent of full speed.
+        speed_percent: Reported speed, in percent of full speed.
         signal: Tail latency in milliseconds for a serving task, CPU use in
             millicores for any other.
         pace_percent: Speed limit last set, in percent of full speed.
@@ -44,8 +44,8 @@
         "name",
         "number",
         "pace_percent",
-        "percent",
         "signal",
+        "speed_percent",
         "started_at_s",
         "step",
         "task",
@@ -69,12 +69,12 @@
         self.is_pinned = False
         self.was_sent = False
         self.checkpoint = ""
-        self.percent = 0.0
+        self.speed_percent = 0.0
         self.signal = 0.0
         self.pace_percent = 100
 
     def mark_answered(self, now_s: float) -> None:
-        """Record that the worker has answered the last order.
+        """Record that the worker has answered the last command.
 
         Args:
             now_s: Monotonic time.
--- a/wisteriawood/cells/share_histories.py
+++ b/wisteriawood/cells/share_histories.py
@@ -11,8 +11,8 @@
 class ShareHistory:
     """History of the CPU shares of the fillers on one worker.
 
-    Fillers start and end within the time that a tail latency covers, so the
-    tail reflects their mean shares over that time.
+    Fillers start and end within the time that a tail latency covers, so it
+    reflects their mean shares over that time.
     """
 
     __slots__ = ("_states",)
@@ -22,8 +22,8 @@
             tuple[float, interference_models.Shares]
         ] = collections.deque([(0.0, {})])
 
-    def note(self, shares: interference_models.Shares, now_s: float) -> None:
-        """Record a change of the shares.
+    def record(self, shares: interference_models.Shares, now_s: float) -> None:
+        """Record the shares after a change.
 
         Args:
             shares: The shares from now on, by image.
@@ -42,7 +42,7 @@
         Args:
             now_s: Monotonic time.
         """
-        found: dict[str, float] = {}
+        means: dict[str, float] = {}
         until_s = now_s
         for since_s, shares in reversed(self._states):
             begin_s = max(since_s, now_s - TAIL_WINDOW_S)
@@ -52,6 +52,6 @@
                 continue
             part = (until_s - begin_s) / TAIL_WINDOW_S
             for image, share in shares.items():
-                found[image] = found.get(image, 0.0) + part * share
+                means[image] = means.get(image, 0.0) + part * share
             until_s = begin_s
-        return found
+        return means
--- a/wisteriawood/cells/tables.py
+++ b/wisteriawood/cells/tables.py
@@ -8,7 +8,7 @@
 JOBS = "jobs"
 CLAIMS = "cells"
 HOSTS = "hosts"
-KNOWLEDGE = "knowledge"
+WEIGHTS = "knowledge"
 CANCEL_SUFFIX = "~cancel"
 
 
@@ -86,6 +86,6 @@
     return stores.RowKey(table=HOSTS, key=host)
 
 
-def knowledge_row(cell: str) -> stores.RowKey:
-    """Return the key of the row with what a cell's holder has learned."""
-    return stores.RowKey(table=KNOWLEDGE, part=service_of_cell(cell), key=cell)
+def weights_row(cell: str) -> stores.RowKey:
+    """Return the key of the row with the weights that a cell shares."""
+    return stores.RowKey(table=WEIGHTS, part=service_of_cell(cell), key=cell)
--- a/wisteriawood/cells/weight_exchanges.py
+++ b/wisteriawood/cells/weight_exchanges.py
@@ -11,8 +11,8 @@
 from wisteriawood.telemetry import job_events
 
 _LOG = events.Logger(name=__name__)
-# Time between two exchanges. Weights change slowly, and their rows are much
-# larger than heartbeats, which every host reads.
+# Time between two exchanges. Weights change slowly. They are not part of the
+# heartbeats, which every host reads, since they are much larger.
 EXCHANGE_INTERVAL_S = 3.0
 
 
@@ -52,10 +52,10 @@
         service = tables.service_of_cell(self._cell.name)
         data = msgspec.json.encode(self._cell.model.export_pairs())
         if data != self._last_written:
-            at = tables.knowledge_row(self._cell.name)
+            at = tables.weights_row(self._cell.name)
             await store.commit(stores.Change(writes={at: data}))
             self._last_written = data
-        page = await store.read(tables.KNOWLEDGE, service)
+        page = await store.read(tables.WEIGHTS, service)
         for row in page.rows:
             if row.at.key != self._cell.name:
                 self._merge_row(row)
--- a/wisteriawood/cells/worker_sessions.py
+++ b/wisteriawood/cells/worker_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions with workers: lease renewals, run reports, acknowledgements."""
+"""Sessions with workers: lease renewals, reports and acknowledgements."""
 
 import anyio
 
@@ -14,8 +14,8 @@
 from wisteriawood.telemetry import job_events
 
 _LOG = events.Logger(name=__name__)
-# Longest that a worker may delay the answer to a renewal; leaves a third of
-# the shortest lease as a reserve.
+# Longest time for which a worker may delay the answer to a renewal; a third of
+# the shortest lease remains after it.
 RENEW_WAIT_MS = 1000
 # The same while fillers run beside a serving task whose tail latency is at
 # this share of its bound or more.
@@ -148,6 +148,8 @@
         batches = self._process_ended_runs(report)
         listed = self._process_active_runs(report, now_s)
         for run in list(worker.runs.values()):
+            # A report lists all runs on the worker. A run that it omits, and
+            # for which the worker answered before the renewal, has ended.
             if (
                 run.name not in listed
                 and run.is_answered
@@ -190,14 +192,14 @@
                 continue
             listed.add(run.name)
             if run.job.is_ended() and not run.is_stopping:
-                # The former holder did not get to stop it.
+                # The former holder ended the job but did not stop this run.
                 self._cell.stop_run(worker, run)
             if not run.is_confirmed:
                 run.confirm(now_s)
-                worker.note_shares(now_s)
+                worker.record_shares(now_s)
             if active.checkpoint:
                 run.checkpoint = active.checkpoint
-            run.percent = active.percent
+            run.speed_percent = active.percent
             run.signal = active.signal
         return listed
 
@@ -212,7 +214,7 @@
         self._cell.stop_unknown_run(worker, active)
 
     async def _wait_for_commits(self) -> None:
-        """Acknowledge ended runs if their jobs are committed in time."""
+        """Acknowledge ended runs if their commit is done in COMMIT_WAIT_S."""
         if not self._uncommitted:
             return
         batches, number = self._uncommitted[0]
@@ -260,7 +262,7 @@
 
 
 def adopt_runs(worker: workers.Worker, adopted: list[runs.Run]) -> None:
-    """Reserve room on a worker for the runs that a former holder assigned.
+    """Reserve capacity for the runs that a former holder assigned.
 
     The first report under the new token shows which of them are there: from
     then on the worker rejects the commands of the former holder.
@@ -271,5 +273,6 @@
     """
     for run in adopted:
         run.was_sent = True
+        # Earlier than any renewal, so that the first report decides.
         run.mark_answered(-1.0)
         worker.add_run(run)
--- a/wisteriawood/cells/workers.py
+++ b/wisteriawood/cells/workers.py
@@ -15,10 +15,11 @@
 
 # Time without new starts on a worker after it refused one.
 REFUSAL_PAUSE_S = 0.5
-# Part of the requested CPU that serving tasks use, with some headroom.
+# Share of their requested CPU that serving tasks are expected to use, with
+# some headroom.
 SERVING_UTILIZATION = 0.5
-# Least time between two reports used for estimates; the tails of reports in
-# between cover almost the same time.
+# Least time between two reports used for estimates; the tail latencies of
+# reports in between cover almost the same time.
 LEARN_INTERVAL_S = 0.3
 # How far ahead the baseline loads of serving tasks are projected when a filler
 # is placed beside them; the filler pacer reacts in time to later changes.
@@ -49,9 +50,16 @@
         born_unix_ms: Start of the worker's known process, as wall time; 0
             before its first answer.
         answered_at_s: Monotonic time of the last answer; 0 before the first.
+        commands: Queues the runs to start or stop.
+        commands_out: Receiving end of that queue.
+        free_millicores: CPU that no task has reserved; fillers reserve none.
+        free_memory_mb: Memory that no task has reserved.
+        free_accelerators: Accelerators that no task has reserved.
+        filler_millicores: CPU that the fillers here request.
+        speed: Factor applied to the unused CPU; always 1 at present.
         avoided_until_s: Monotonic time before which no run is sent here.
         is_gone: Whether the directory no longer lists the worker.
-        is_closed: Whether the holder no longer sends orders to the worker.
+        is_closed: Whether the holder no longer sends commands to the worker.
         no_fillers_until_s: Monotonic time before which no filler starts.
         blocked_images_until_s: Monotonic time until which no task of an
             image is placed here after one was moved away, by image.
@@ -69,6 +77,8 @@
         "avoided_until_s",
         "blocked_images_until_s",
         "born_unix_ms",
+        "commands",
+        "commands_out",
         "filler_millicores",
         "free_accelerators",
         "free_memory_mb",
@@ -79,8 +89,6 @@
         "lease",
         "link",
         "no_fillers_until_s",
-        "orders",
-        "orders_out",
         "registration",
         "runs",
         "speed",
@@ -121,41 +129,41 @@
         self.speed = 1.0
         self._probation = probations.ProbationTracker()
         # Unbounded, since the worker's capacity limits the number of runs.
-        self.orders, self.orders_out = anyio.create_memory_object_stream[
+        self.commands, self.commands_out = anyio.create_memory_object_stream[
             runs.Run
         ](math.inf)
 
-    def order(self, run: runs.Run) -> None:
-        """Queue a run to be started, or stopped if it is stopping.
+    def queue_command(self, run: runs.Run) -> None:
+        """Queue the start of a run, or its stop if it is stopping.
 
         Args:
             run: The run.
         """
         if not self.is_closed:
-            self.orders.send_nowait(run)
+            self.commands.send_nowait(run)
 
     def close(self) -> None:
-        """Close the queue of orders."""
+        """Close the queue of commands."""
         self.is_closed = True
-        self.orders.close()
-        self.orders_out.close()
+        self.commands.close()
+        self.commands_out.close()
 
     @property
     def id(self) -> str:
         """Id of the worker."""
         return self.registration.worker_id
 
-    def update(self, found: runners.Registration) -> None:
-        """Apply a newer directory entry to the free capacity.
+    def update(self, new: runners.Registration) -> None:
+        """Replace the directory entry and adjust the free capacity.
 
         Args:
-            found: The worker's entry in the directory.
+            new: The worker's newest entry in the directory.
         """
-        held = self.registration
-        self.free_millicores += found.cpu_millicores - held.cpu_millicores
-        self.free_memory_mb += found.memory_mb - held.memory_mb
-        self.free_accelerators += found.accelerators - held.accelerators
-        self.registration = found
+        old = self.registration
+        self.free_millicores += new.cpu_millicores - old.cpu_millicores
+        self.free_memory_mb += new.memory_mb - old.memory_mb
+        self.free_accelerators += new.accelerators - old.accelerators
+        self.registration = new
         self.is_gone = False
 
     def add_run(self, run: runs.Run) -> None:
@@ -178,7 +186,7 @@
             del self.runs[run.name]
             self._baseline_loads.pop(run.job.id, None)
             self._adjust_usage(run.step, -1)
-            self.note_shares(anyio.current_time())
+            self.record_shares(anyio.current_time())
 
     def _adjust_usage(self, step: specs.StepSpec, sign: int) -> None:
         if step.is_filler:
@@ -200,7 +208,9 @@
             task_name: Name of the task.
             now_s: Monotonic time.
         """
-        if not self.has_room(step) or not self.allows(step, now_s):
+        if not self.has_capacity_for(step) or not self.is_unblocked_for(
+            step, now_s
+        ):
             return False
         if step.required_label not in ("", *self.registration.labels):
             return False
@@ -209,8 +219,8 @@
         step_name = task_name.rpartition(".")[0] + "."
         return self.count_step_tasks(step_name) < step.most_per_worker
 
-    def has_room(self, step: specs.StepSpec) -> bool:
-        """Return whether a task of a step fits into the free capacity.
+    def has_capacity_for(self, step: specs.StepSpec) -> bool:
+        """Return whether there is enough free capacity for a task of a step.
 
         Fillers reserve no CPU.
 
@@ -233,12 +243,12 @@
             not self.is_gone
             and not self.registration.is_draining
             and self.born_unix_ms > 0
-            and self.is_fresh(now_s)
+            and self.has_answered_recently(now_s)
             and now_s >= self.avoided_until_s
         )
 
-    def allows(self, step: specs.StepSpec, now_s: float) -> bool:
-        """Return whether no temporary block keeps a step's tasks away.
+    def is_unblocked_for(self, step: specs.StepSpec, now_s: float) -> bool:
+        """Return whether no temporary block excludes tasks of a step.
 
         Args:
             step: The step.
@@ -249,10 +259,10 @@
         return now_s >= self.blocked_images_until_s.get(step.image, 0.0)
 
     def count_step_tasks(self, step_name: str) -> int:
-        """Return how many tasks of a step and occurrence are here.
+        """Return how many tasks of one occurrence of a step are here.
 
         Args:
-            step_name: Common prefix of their names.
+            step_name: Common prefix of the task names.
         """
         return sum(1 for name in self.runs if name.startswith(step_name))
 
@@ -266,11 +276,11 @@
             End of a renewed lease on the worker's clock, in milliseconds,
             while the worker answers, else that of the last lease.
         """
-        if self.is_fresh(now_s):
+        if self.has_answered_recently(now_s):
             return self.lease.grant(now_s)
         return self.lease.granted_until_ms
 
-    def is_fresh(self, now_s: float) -> bool:
+    def has_answered_recently(self, now_s: float) -> bool:
         """Return whether the worker answered recently.
 
         Args:
@@ -286,14 +296,14 @@
         """Return the CPU expected to stay unused, in millicores.
 
         Serving tasks use only a part of the CPU they request, on average.
-        The result is scaled by the speed of the worker.
+        The result is multiplied by the worker's speed.
         """
         unused = (1 - SERVING_UTILIZATION) * self._serving_millicores
         left = self.free_millicores + unused - self.filler_millicores
         return left * self.speed
 
     def serving_images(self) -> dict[str, int]:
-        """Return the number of tasks with a tail bound here, by image."""
+        """Return the number of serving tasks here, by image."""
         found: dict[str, int] = {}
         for run in self.runs.values():
             if run.step.tail_target_ms > 0:
@@ -303,7 +313,7 @@
     def excluded_fillers(
         self, model: interference_models.InterferenceModel
     ) -> frozenset[str]:
-        """Return the filler images that are heavy for a serving task here.
+        """Return the filler images incompatible with a serving task here.
 
         Args:
             model: Estimates of the load that fillers add.
@@ -330,17 +340,19 @@
             run for run in self.runs.values() if not run.is_stopping
         )
 
-    def _shares_of(self, found: typing.Iterable[runs.Run]) -> dict[str, float]:
+    def _shares_of(
+        self, selected: typing.Iterable[runs.Run]
+    ) -> dict[str, float]:
         """Return the CPU shares of the fillers among some runs, by image."""
         shares: dict[str, float] = {}
-        for run in found:
+        for run in selected:
             if run.step.is_filler:
                 share = shares.get(run.step.image, 0.0)
                 shares[run.step.image] = share + self.share_of(run)
         return shares
 
-    def note_shares(self, now_s: float) -> None:
-        """Record the CPU shares after a filler started, ended or was paced.
+    def record_shares(self, now_s: float) -> None:
+        """Record the CPU shares after a filler or its pace has changed.
 
         Args:
             now_s: Monotonic time.
@@ -349,7 +361,7 @@
         shares = self._shares_of(
             run for run in self.runs.values() if run.is_confirmed
         )
-        self._share_history.note(shares, now_s)
+        self._share_history.record(shares, now_s)
 
     def projected_loads(
         self,
@@ -393,7 +405,7 @@
             model: Estimates of the load that fillers add.
 
         Returns:
-            Highest load of a serving task; 0 if none here has a tail bound.
+            Highest load of a serving task; 0 if there is none here.
         """
         share = step.cpu_millicores / self.capacity_millicores()
         highest = 0.0
@@ -407,7 +419,7 @@
     def learn(
         self, model: interference_models.InterferenceModel, now_s: float
     ) -> None:
-        """Update the estimates from the tails in the newest report.
+        """Update the estimates from the newest reported tail latencies.
 
         Args:
             model: Estimates to update.
@@ -443,7 +455,7 @@
         )
 
     def _runs_with_tail(self, now_s: float) -> dict[str, list[runs.Run]]:
-        """Return the serving runs with a meaningful tail, by job."""
+        """Return serving runs with a usable tail latency, by job."""
         found: dict[str, list[runs.Run]] = {}
         for run in self.runs.values():
             if run.step.tail_target_ms <= 0 or run.signal <= 0:
@@ -452,7 +464,7 @@
                 found.setdefault(run.job.id, []).append(run)
         return found
 
-    def note_refusal(self, now_s: float) -> None:
+    def record_refusal(self, now_s: float) -> None:
         """Avoid the worker for a short time after it refused a start.
 
         Args:
@@ -462,7 +474,9 @@
             self.avoided_until_s, now_s + REFUSAL_PAUSE_S
         )
 
-    def note_end(self, run: runs.Run, has_failed: bool, now_s: float) -> bool:
+    def record_end(
+        self, run: runs.Run, has_failed: bool, now_s: float
+    ) -> bool:
         """Count the end of a run for the worker's probation.
 
         Args:
@@ -473,7 +487,7 @@
         Returns:
             Whether the worker is now on probation.
         """
-        length_s = self._probation.note_end(run.job.id, has_failed)
+        length_s = self._probation.record_end(run.job.id, has_failed)
         if not length_s:
             return False
         self.avoided_until_s = now_s + length_s
--- a/wisteriawood/jobs/jobs.py
+++ b/wisteriawood/jobs/jobs.py
@@ -38,12 +38,12 @@
     Args:
         spec: The job as it was submitted.
         cell: Name of the cell that runs it.
-        bucket: Partition of the store that keeps it.
+        bucket: Partition of the store that keeps its rows.
 
     Attributes:
         state: State that callers see.
         accepted_at_s: Monotonic time at which it was accepted.
-        objective_s: Time from then in which it should complete.
+        objective_s: Time after acceptance in which it should complete.
         ended_unix_ms: Wall time of its end; 0 before.
         occurrences: Tasks by occurrence and step.
         next_occurrence: Number of the next occurrence to open.
@@ -129,7 +129,7 @@
                 task.run = self.spec.runs_before
                 task.checkpoint = self.spec.checkpoint
 
-    def open_due(self, now_unix_ms: float) -> bool:
+    def open_due_occurrences(self, now_unix_ms: float) -> bool:
         """Open the occurrences that are due.
 
         Args:
--- a/wisteriawood/jobs/queues.py
+++ b/wisteriawood/jobs/queues.py
@@ -1,4 +1,4 @@
-"""Queues that callers submit jobs to, and the rules for their tasks."""
+"""Queues to which callers submit jobs, and the rules for their jobs."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Advice:
-    """Times of the advice service, which approves the workers of a step.
+    """Delays of the advice service, which approves the workers of a step.
 
     Attributes:
         decide_ms: Time that a decision takes.
@@ -30,10 +30,10 @@
         prefix: Path prefix of the requests that the queue accepts.
         service: Service whose workers run its tasks.
         timeout_ms: Time after which a caller's request is abandoned.
-        target_ms: Constant part of the objective.
-        priority: 0 is the highest priority and may displace others.
+        target_ms: Constant part of the objective of a job.
+        priority: Priority of its jobs; 0 is the highest.
         attempts: Number of failed runs after which a task fails its job.
-        stretch: Factor of the critical path in the objective.
+        stretch: Factor by which the critical path counts in the objective.
         advice: Advice service that approves workers; None if any worker may
             run the tasks.
     """
--- a/wisteriawood/jobs/specs.py
+++ b/wisteriawood/jobs/specs.py
@@ -25,7 +25,8 @@
         is_speculative: Whether copies of a task may run in parallel.
         is_standing: Whether the tasks run until the job is cancelled.
         image: Image that the tasks run; tasks of one image behave alike.
-        tail_target_ms: Bound of a serving task's tail latency; 0 for none.
+        tail_target_ms: Bound of the tail latency; 0 for none. A task with a
+            bound is a serving task.
         is_filler: Whether the tasks use only CPU that other tasks leave
             unused.
         most_missing: Most tasks that may be interrupted at the same time.
--- a/wisteriawood/jobs/tasks.py
+++ b/wisteriawood/jobs/tasks.py
@@ -14,7 +14,12 @@
 
 
 class Outcome(enum.StrEnum):
-    """How a run ended."""
+    """How a run ended.
+
+    DONE completes a task unless it is standing. FAILED counts against the
+    attempts of its job. After all other outcomes, the task only waits for a
+    new run.
+    """
 
     DONE = "done"
     FAILED = "failed"
--- a/wisteriawood/machines/intakes.py
+++ b/wisteriawood/machines/intakes.py
@@ -27,9 +27,10 @@
 STORE_RETRY_S = 1.0
 # Longest time for which a submission or cancellation is tried.
 SUBMIT_TIMEOUT_S = 2.0
-# Time for which the row of a refused job is kept; a transaction whose answer
-# was lost takes effect within seconds.
-REFUSED_KEPT_S = 30.0
+# Time for which the row of a refused job is kept. It must outlast an earlier
+# transaction for the same job whose answer was lost; such a transaction takes
+# effect within seconds.
+REFUSED_RETENTION_S = 30.0
 REFUSED_REMOVE_PERIOD_S = 5.0
 
 
@@ -91,7 +92,7 @@
             spec.accepted_unix_ms = self._host.now_unix_ms()
             bucket = tables.bucket_of(spec.id, self._host.zones)
             cell, refusal = self._choose_and_check(spec, bucket)
-            with _mapping_store_errors():
+            with _map_store_errors():
                 if refusal is not None:
                     outcome = "overload"
                     await self._refuse(
@@ -102,7 +103,7 @@
                 outcome = await self._store_job(
                     spec, cell, bucket, give_up_at_s
                 )
-            self._balancer.note_sent(cell, spec)
+            self._balancer.record_sent(cell, spec)
         except errors.RequestUnknownError:
             outcome = "unknown"
             raise
@@ -194,12 +195,13 @@
         )
 
     async def run(self) -> None:
-        """Remove the rows of refused jobs after REFUSED_KEPT_S."""
+        """Remove the rows of refused jobs after REFUSED_RETENTION_S."""
         while True:
             await anyio.sleep(REFUSED_REMOVE_PERIOD_S)
             now_s = anyio.current_time()
             while (
-                self._refused and now_s - self._refused[0][0] > REFUSED_KEPT_S
+                self._refused
+                and now_s - self._refused[0][0] > REFUSED_RETENTION_S
             ):
                 _at_s, at, version = self._refused.popleft()
                 change = stores.Change(
@@ -213,7 +215,7 @@
                     )
 
     def _check_store(self) -> None:
-        """Refuse the request at once if the store is known unreachable."""
+        """Refuse the request if the store is known to be unreachable."""
         if self._host.is_store_unreachable():
             raise errors.RequestNotRunError(
                 reason="the store does not answer this host",
@@ -223,7 +225,7 @@
     def _choose_and_check(
         self, spec: specs.JobSpec, bucket: str
     ) -> tuple[str, base.Refusal | None]:
-        """Return the cell of a job, and the refusal if it is overloaded."""
+        """Return the cell of a job and, if it is overloaded, a refusal."""
         cell, view = self._choose_cell(spec, bucket)
         if view is None:
             return cell, None
@@ -324,7 +326,7 @@
         give_up_at_s = anyio.current_time() + min(timeout_s, SUBMIT_TIMEOUT_S)
         outcome = "refused"
         try:
-            with _mapping_store_errors():
+            with _map_store_errors():
                 await stores.commit_settled(
                     self._host.store, change, give_up_at_s=give_up_at_s
                 )
@@ -353,7 +355,7 @@
 
 
 @contextlib.contextmanager
-def _mapping_store_errors() -> typing.Iterator[None]:
+def _map_store_errors() -> typing.Iterator[None]:
     """Map errors of the store to errors for the caller.
 
     Raises:
--- a/wisteriawood/machines/job_hosts.py
+++ b/wisteriawood/machines/job_hosts.py
@@ -34,12 +34,12 @@
 # Time without an answer of the store after which callers are refused at
 # once; the feed retries several times within it.
 STORE_UNREACHABLE_S = 1.0
-# Age up to which the newest answer of the store lets the host be ready.
+# Greatest age of the store's newest answer at which the host is ready.
 READY_ANSWER_AGE_S = 2.5
 
 
 class JobHost:
-    """Accepts jobs, and holds cells: its zone's, and others without a host.
+    """Accepts jobs and holds cells: of its zone, and of zones without hosts.
 
     Args:
         name: Name of the host.
@@ -50,7 +50,7 @@
         lease_s: Duration of the workers' leases.
         retention_s: Time for which the state of an ended job can be queried.
         policy: Name of the spreading policy.
-        cores: Processor that the host may use, in cores; 0 if unknown.
+        cores: CPU that the host may use, in cores; 0 if unknown.
 
     Attributes:
         members: The other hosts and the claims of all cells.
@@ -138,8 +138,8 @@
             queues=len(table.queues),
         )
 
-    def use_fleet(self, fleet: dict[str, runners.Registration]) -> None:
-        """Apply the current list of workers of the directory.
+    def update_fleet(self, fleet: dict[str, runners.Registration]) -> None:
+        """Apply the directory's current list of workers.
 
         Args:
             fleet: All workers, by id.
@@ -152,9 +152,9 @@
         service = tables.service_of_cell(cell)
         zone = tables.zone_of_cell(cell)
         return {
-            worker_id: found
-            for worker_id, found in self._fleet.items()
-            if found.service == service and found.zone == zone
+            worker_id: worker
+            for worker_id, worker in self._fleet.items()
+            if worker.service == service and worker.zone == zone
         }
 
     def open_cells(self) -> list[str]:
@@ -174,7 +174,7 @@
         return bool(self._workers_of(cell))
 
     def zone_of_racks(self, racks: set[str]) -> str:
-        """Return the zone with most workers in some racks; empty if none.
+        """Return the zone with most workers in given racks; empty if none.
 
         Args:
             racks: Names of racks.
@@ -182,15 +182,17 @@
         if not racks:
             return ""
         zones = [
-            found.zone for found in self._fleet.values() if found.rack in racks
+            worker.zone
+            for worker in self._fleet.values()
+            if worker.rack in racks
         ]
         return max(sorted(set(zones)), key=zones.count, default="")
 
     def is_store_unreachable(self) -> bool:
         """Return whether the store has not answered for some time."""
         feed = self.members.heartbeat_feed
-        lost_s = anyio.current_time() - feed.answered_at_s
-        return not feed.unbroken_since_s and lost_s > STORE_UNREACHABLE_S
+        silent_s = anyio.current_time() - feed.answered_at_s
+        return not feed.unbroken_since_s and silent_s > STORE_UNREACHABLE_S
 
     def unready_reason(self) -> str:
         """Return why the host accepts no connections; empty if it does."""
@@ -232,7 +234,7 @@
 
     def _all_cells(self) -> list[str]:
         services = self.queues.services() if self.queues else set()
-        services |= {found.service for found in self._fleet.values()}
+        services |= {worker.service for worker in self._fleet.values()}
         return sorted(
             tables.cell_name(service, zone)
             for service in services
@@ -287,7 +289,7 @@
     async def _claim(self, cell: str, previous: claims.Claim | None) -> None:
         heartbeats = {
             name: member.heartbeat
-            for name, member in self.members.members.items()
+            for name, member in self.members.by_name.items()
         }
         try:
             claim = await claims.claim_cell(
--- a/wisteriawood/machines/takeovers.py
+++ b/wisteriawood/machines/takeovers.py
@@ -26,8 +26,7 @@
 OTHER_ZONE_REACHABLE_S = 1.2
 # Time for which a free cell is left to a much stronger host of its zone.
 STRONGER_HOST_DELAY_S = 0.8
-# Time by which a host waits longer before a claim for each cell that it
-# already holds.
+# Additional delay before a claim for each cell that the host already holds.
 DELAY_PER_HELD_CELL_S = 0.3
 PROBE_TIMEOUT_S = 0.6
 MAX_PROBED_WORKERS = 3
@@ -120,8 +119,8 @@
         # After a partition, the heartbeats of the zone's own hosts need time
         # to arrive.
         now_s = anyio.current_time()
-        first_s = self._reachable_since_s.setdefault(cell, now_s)
-        return now_s - first_s >= OTHER_ZONE_REACHABLE_S
+        since_s = self._reachable_since_s.setdefault(cell, now_s)
+        return now_s - since_s >= OTHER_ZONE_REACHABLE_S
 
     def _is_other_zone_cell_free(
         self, cell: str, previous: claims.Claim | None, extra_s: float
@@ -140,10 +139,10 @@
 
     async def _can_reach_worker(self, cell: str) -> bool:
         """Return whether a worker of a cell answers this host."""
-        for found in list(self._workers_of(cell).values())[
+        for worker in list(self._workers_of(cell).values())[
             :MAX_PROBED_WORKERS
         ]:
-            link = self._dial(found)
+            link = self._dial(worker)
             try:
                 with anyio.fail_after(PROBE_TIMEOUT_S):
                     await link.renew(
@@ -155,7 +154,7 @@
             except (errors.LinkError, TimeoutError) as exc:
                 _LOG.log(
                     job_events.PROBE_FAILED,
-                    worker=found.worker_id,
+                    worker=worker.worker_id,
                     cause=repr(exc),
                 )
             finally:
--- a/wisteriawood/platform/__main__.py
+++ b/wisteriawood/platform/__main__.py
@@ -117,7 +117,7 @@
                 )
         if fleet != self._fleet:
             self._fleet = fleet
-            self._host.use_fleet(fleet)
+            self._host.update_fleet(fleet)
 
     async def _watch_signals(self) -> None:
         with anyio.open_signal_receiver(
--- a/wisteriawood/standins/job_worlds.py
+++ b/wisteriawood/standins/job_worlds.py
@@ -120,7 +120,7 @@
             if name not in missing
         }
         for host in self.hosts.values():
-            host.use_fleet(fleet)
+            host.update_fleet(fleet)
 
     def start_host(self, name: str, zone: str, cores: float = 1.0) -> None:
         """Start a job host.
--- a/wisteriawood/tests/builders.py
+++ b/wisteriawood/tests/builders.py
@@ -390,7 +390,7 @@
     )
     job = jobs.Job(spec=spec, cell="shop@a", bucket="a")
     if occurrences:
-        job.open_due(0)
+        job.open_due_occurrences(0)
     return job
 
 
@@ -410,9 +410,9 @@
     run.was_sent = True
     run.mark_answered(now_s)
     run.confirm(now_s)
-    run.percent = 100
+    run.speed_percent = 100
     run.signal = latency_ratio * run.step.tail_target_ms
-    worker.note_shares(now_s)
+    worker.record_shares(now_s)
     return run
 
 
--- a/wisteriawood/tests/cells_tests.py
+++ b/wisteriawood/tests/cells_tests.py
@@ -20,7 +20,7 @@
 
 
 class SingleRunCase(unittest.TestCase):
-    """Base case that checks that no task ran twice at once or once done."""
+    """Checks that no task has two runs at a time or one after it is done."""
 
     def check_single_runs(self, world):
         ends = world.ends()
@@ -31,16 +31,18 @@
                 if outcome == "done"
             ]
             self.assertLessEqual(len(done), 1, name)
-            for (_run, _at, _w), (_next, at_s, _w2) in zip(
+            for (former, _at_s, _worker), (_next, at_s, _other) in zip(
                 sorted(starts), sorted(starts)[1:]
             ):
-                over = [
+                former_ends_s = [
                     end_s
                     for run, _outcome, end_s in ends.get(name, [])
-                    if run == _run
+                    if run == former
                 ]
                 is_dead = any(w.is_dead for w in world.workers.values())
-                self.assertTrue(is_dead or min(over, default=0) <= at_s, name)
+                self.assertTrue(
+                    is_dead or min(former_ends_s, default=0) <= at_s, name
+                )
 
 
 class JobTests(SingleRunCase):
@@ -291,8 +293,8 @@
             )
         ]
 
-    def test_a_standing_task_without_room_runs_in_another_cell(self):
-        """Regression: a task waited in a full zone beside free ones.
+    def test_a_standing_task_that_does_not_fit_runs_in_another_cell(self):
+        """Regression: a task waited in a full zone while others had capacity.
 
         It was reported as LOST in the run trouble-3.
         """
@@ -317,7 +319,7 @@
 
         builders.run_job_world(_check)
 
-    def test_a_cell_with_a_queue_may_still_have_room(self):
+    def test_a_cell_with_waiting_tasks_may_still_have_capacity(self):
         """Negative free capacity must not exclude a cell with a free worker.
 
         Suspected cause of tasks LOST in quiet-1 --seed 771047308218.
--- a/wisteriawood/tests/guarding_tests.py
+++ b/wisteriawood/tests/guarding_tests.py
@@ -37,7 +37,7 @@
         builders.run_virtual(_main)
 
 
-class GuardTests(CellCase):
+class FillerPacerTests(CellCase):
     def test_only_the_filler_that_adds_load_is_slowed(self):
         async def _check(cell, fleet, now_s):
             builders.set_weights(
@@ -59,10 +59,10 @@
 
         self.run_cell(_check)
 
-    def test_fillers_are_slowed_beside_a_task_without_a_tail_yet(self):
-        """A task without a tail yet must not stay unguarded.
+    def test_fillers_are_slowed_beside_a_task_without_a_tail_latency(self):
+        """Fillers beside a task without a tail latency must be paced too.
 
-        On test day quiet-1, bounds were exceeded for 30 of 190 s.
+        In the run quiet-1, bounds were exceeded for 30 of 190 s.
         """
 
         async def _check(cell, fleet, now_s):
@@ -98,7 +98,9 @@
             self.assertEqual(heavy.pace_percent, 0)
             self.assertEqual(unknown.pace_percent, 0)
             self.assertEqual(light.pace_percent, 100)
-            self.assertFalse(fleet[0].allows(heavy.step, anyio.current_time()))
+            self.assertFalse(
+                fleet[0].is_unblocked_for(heavy.step, anyio.current_time())
+            )
 
         self.run_cell(_check)
 
@@ -125,7 +127,8 @@
     def test_a_heavy_filler_is_placed_for_the_projected_load(self):
         """A heavy filler must not start while the load is low but rises.
 
-        On test day quiet-1, fillers started while a wave of load was low.
+        In the run quiet-1, fillers started at the low point of a load that
+        rises and falls.
         """
 
         async def _check(cell, fleet, now_s):
@@ -183,7 +186,7 @@
             ]
             self.assertEqual(stopping, [west.id + ".0.0.0"])
             step = west.spec.steps[0]
-            self.assertFalse(fleet[0].allows(step, now_s + 1))
+            self.assertFalse(fleet[0].is_unblocked_for(step, now_s + 1))
             # No further move until this task has been placed.
             regrouper.tick(now_s + regrouping.MOVE_INTERVAL_S)
             self.assertEqual(sum(r.is_stopping for r in _runs(fleet)), 1)
@@ -194,7 +197,7 @@
     def test_no_task_moves_while_another_of_its_step_is_slowed(self):
         async def _check(cell, fleet, now_s):
             _east, west = self._place_mixed(cell, fleet, now_s)
-            fleet[1].runs[west.id + ".0.0.1"].percent = 40
+            fleet[1].runs[west.id + ".0.0.1"].speed_percent = 40
             regrouping.Regrouper(cell=cell).tick(now_s)
             self.assertFalse(any(run.is_stopping for run in _runs(fleet)))
 
@@ -224,9 +227,9 @@
         return specs.JobSpec(id=f"{number:016x}", queue=None, steps=[step])
 
     def test_hosts_with_equal_views_fill_all_cells(self):
-        """Hosts must not all choose the cell with most reported room.
+        """Hosts must not all choose the cell with most reported capacity.
 
-        On test day quiet-1, one cell got 67 serving tasks and another 5.
+        In the run quiet-1, one cell got 67 serving tasks and another 5.
         """
 
         async def _main():
@@ -240,14 +243,14 @@
                 balancer = hosts[number % len(hosts)]
                 spec = self._spec(number)
                 cell, _view = balancer.choose(list(loads), loads, spec)
-                balancer.note_sent(cell, spec)
+                balancer.record_sent(cell, spec)
                 counts[cell] += 1
-            # By most room alone, all hosts would choose the same two cells.
+            # By free capacity alone, all hosts would choose the same two.
             self.assertGreaterEqual(min(counts.values()), 2)
 
         builders.run_virtual(_main)
 
-    def test_a_full_cell_gets_no_job_while_others_have_room(self):
+    def test_a_full_cell_gets_no_job_while_others_have_capacity(self):
         async def _main():
             loads = {
                 "s@a": {"capacity": 600000, "free": -1000},
--- a/wisteriawood/tests/placing_tests.py
+++ b/wisteriawood/tests/placing_tests.py
@@ -38,7 +38,7 @@
         builders.run_virtual(_main)
 
     def test_no_worker_is_overcommitted(self):
-        async def _check(placer, _book, fleet):
+        async def _check(placer, _model, fleet):
             job = _job(task_count=20)
             placer.place(_waiting(job), fleet, anyio.current_time())
             assigned = [
@@ -51,7 +51,7 @@
         self._run(_check)
 
     def test_a_step_is_spread_over_workers(self):
-        async def _check(placer, _book, fleet):
+        async def _check(placer, _model, fleet):
             job = _job(task_count=6, most_per_worker=1)
             placer.place(_waiting(job), fleet, anyio.current_time())
             self.assertEqual([len(w.runs) for w in fleet], [1, 1, 1])
@@ -59,7 +59,7 @@
         self._run(_check)
 
     def test_a_gang_is_placed_completely_or_not_at_all(self):
-        async def _check(placer, _book, fleet):
+        async def _check(placer, _model, fleet):
             large = _job("a", task_count=13, is_gang=True)
             small = _job("b", task_count=12, is_gang=True)
             waiting = _waiting(large, small)
@@ -70,7 +70,7 @@
         self._run(_check)
 
     def test_urgent_jobs_go_first(self):
-        async def _check(placer, _book, fleet):
+        async def _check(placer, _model, fleet):
             later, sooner = _job("a", task_count=12), _job("b", task_count=12)
             later.spec.queue = queues.Queue(name="l", priority=2)
             placer.place(_waiting(later, sooner), fleet, 1.0)
@@ -81,8 +81,8 @@
     def test_a_filler_that_fits_nowhere_gets_one_task_started(self):
         """A filler too heavy for all workers must be started eventually.
 
-        Otherwise it is never placed and its job counts as LOST, as on test
-        day trouble-3 --seed 436388994900.
+        Otherwise it is never placed and its job counts as LOST, as in the run
+        trouble-3 --seed 436388994900.
         """
 
         async def _check(placer, model, fleet):
@@ -125,8 +125,8 @@
     def test_each_idle_job_gets_a_task_started(self):
         """The first jobs in order must not keep the others from starting.
 
-        Otherwise the first 24 jobs blocked the rest, which counted as LOST on
-        4 of 40 test days.
+        Otherwise the first 24 jobs block the rest, which counted as LOST in
+        4 of 40 runs.
         """
 
         async def _main():
@@ -202,7 +202,7 @@
     def test_rising_baseline_load_is_not_attributed_to_a_filler(self):
         """A light filler that runs while the load rises must stay light.
 
-        On test day quiet-1, such a filler counted as heavy and was held back.
+        In the run quiet-1, such a filler counted as heavy and was held back.
         """
         model, baseline = (
             interference_models.InterferenceModel(),
@@ -218,7 +218,8 @@
                 0.3 * sample,
             )
         self.assertLess(
-            model.weight("serves", "light"), interference_models.HEAVY_WEIGHT
+            model.weight("serves", "light"),
+            interference_models.MIN_INCOMPATIBLE_WEIGHT,
         )
         self.assertAlmostEqual(baseline.mean, 0.65, delta=0.1)
 
@@ -233,7 +234,7 @@
             combined.import_pairs(f"cell-{number}", model.export_pairs())
         for image, weight in self.WEIGHTS.items():
             worst = max(
-                abs(b.weight("serves", image) - weight) for b in models
+                abs(model.weight("serves", image) - weight) for model in models
             )
             error = abs(combined.weight("serves", image) - weight)
             self.assertLess(error, max(worst, 0.2))
@@ -255,8 +256,8 @@
     def test_the_mean_covers_the_window_of_a_tail(self):
         history = share_histories.ShareHistory()
         window_s = share_histories.TAIL_WINDOW_S
-        history.note({"a": 0.4}, 10.0)
-        history.note({}, 11.0)
+        history.record({"a": 0.4}, 10.0)
+        history.record({}, 11.0)
         self.assertAlmostEqual(history.mean(11.0)["a"], 0.4)
         self.assertAlmostEqual(history.mean(11.0 + window_s / 2)["a"], 0.2)
         self.assertEqual(history.mean(12.0 + window_s), {})
@@ -295,6 +296,6 @@
         job.next_occurrence = 0
         job.spec.occurrence_count = 3
         job.spec.first_due_unix_ms, job.spec.interval_ms = 1000, 500
-        self.assertFalse(job.open_due(999))
-        self.assertTrue(job.open_due(1500))
+        self.assertFalse(job.open_due_occurrences(999))
+        self.assertTrue(job.open_due_occurrences(1500))
         self.assertEqual(sorted(job.occurrences), [0, 1])
