--- a/wisteriawood/links/callers.py
+++ b/wisteriawood/links/callers.py
@@ -48,7 +48,7 @@
         size_bytes += len(chunk)
         if size_bytes > MAX_BODY_BYTES:
             raise errors.RequestNotRunError(
-                reason=f"the body exceeds {MAX_BODY_BYTES} bytes", status=413
+                reason=f"the body is over {MAX_BODY_BYTES} bytes", status=413
             )
         chunks.append(chunk)
     return b"".join(chunks)
@@ -62,8 +62,8 @@
         return service.deadline_s
     if not text.isascii() or not text.isdigit() or not 0 < len(text) < 9:
         raise errors.RequestNotRunError(
-            reason=f"{targets.DEADLINE_HEADER} must be a positive whole "
-            "number of milliseconds",
+            reason=f"{targets.DEADLINE_HEADER} takes whole milliseconds "
+            "above 0",
             status=400,
         )
     return min(int(text) / 1000.0, requests.MAX_REQUEST_S)
@@ -77,17 +77,16 @@
     text = incoming.headers.get(CLASS_HEADER, default)
     if text not in list(requests.RequestClass):
         raise errors.RequestNotRunError(
-            reason=f"{CLASS_HEADER} must be repeatable or run-once",
-            status=400,
+            reason=f"{CLASS_HEADER} takes repeatable or run-once", status=400
         )
     if len(key) > MAX_KEY_CHARS:
         raise errors.RequestNotRunError(
-            reason=f"{KEY_HEADER} exceeds {MAX_KEY_CHARS} characters",
+            reason=f"{KEY_HEADER} is over {MAX_KEY_CHARS} characters",
             status=400,
         )
     if text == requests.RequestClass.RUN_ONCE and not key:
         raise errors.RequestNotRunError(
-            reason=f"a run-once request requires {KEY_HEADER}", status=400
+            reason=f"a run-once request needs {KEY_HEADER}", status=400
         )
     return requests.RequestClass(text), key
 
@@ -141,7 +140,7 @@
 
 def _invalid_path_error() -> errors.RequestNotRunError:
     return errors.RequestNotRunError(
-        reason="the path and the query must be percent-encoded ASCII",
+        reason="write the path and the query in percent-encoded ASCII",
         status=400,
     )
 
--- a/wisteriawood/links/clients.py
+++ b/wisteriawood/links/clients.py
@@ -72,13 +72,13 @@
             httpx.HTTPError: The call failed.
         """
         raw_path = (self._prefix + path).encode("ascii")
-        limits = (timeout or self._timeout).as_dict()
+        timeouts = (timeout or self._timeout).as_dict()
         request = httpx.Request(
             method,
             self._url.copy_with(raw_path=raw_path),
             headers=headers,
             content=content,
-            extensions={"timeout": limits, **(extensions or {})},
+            extensions={"timeout": timeouts, **(extensions or {})},
         )
         response = await self._transport.handle_async_request(request)
         response.request = request
--- a/wisteriawood/links/codecs/jobs.py
+++ b/wisteriawood/links/codecs/jobs.py
@@ -37,7 +37,7 @@
         return cell, msgspec.convert(value, specs.JobSpec)
     except (msgspec.DecodeError, ValueError, TypeError) as exc:
         raise errors.MessageError(
-            f"invalid specification of a job: {exc}"
+            f"bad specification of a job: {exc}"
         ) from exc
 
 
@@ -111,7 +111,7 @@
                 ):
                     _read_task(task, value)
     except (msgspec.DecodeError, ValueError, TypeError, LookupError) as exc:
-        raise errors.MessageError(f"invalid progress of a job: {exc}") from exc
+        raise errors.MessageError(f"bad progress of a job: {exc}") from exc
     return job
 
 
@@ -125,4 +125,4 @@
         _format, cell, state, *_rest = msgspec.json.decode(data)
         return cell, jobs.JobState(state)
     except (msgspec.DecodeError, ValueError, TypeError) as exc:
-        raise errors.MessageError(f"invalid progress of a job: {exc}") from exc
+        raise errors.MessageError(f"bad progress of a job: {exc}") from exc
--- a/wisteriawood/links/codecs/rows.py
+++ b/wisteriawood/links/codecs/rows.py
@@ -27,7 +27,7 @@
     try:
         return msgspec.convert(value, cls)
     except msgspec.ValidationError as exc:
-        raise errors.MessageError(f"invalid {cls.__name__}: {exc}") from exc
+        raise errors.MessageError(f"bad {cls.__name__}: {exc}") from exc
 
 
 def to_json(record: typing.Any) -> bytes:
@@ -49,4 +49,4 @@
     try:
         return msgspec.json.decode(data, type=cls)
     except msgspec.DecodeError as exc:
-        raise errors.MessageError(f"invalid {cls.__name__}: {exc}") from exc
+        raise errors.MessageError(f"bad {cls.__name__}: {exc}") from exc
--- a/wisteriawood/links/configurations.py
+++ b/wisteriawood/links/configurations.py
@@ -10,6 +10,7 @@
 from wisteriawood.links.codecs import rows
 from wisteriawood.links import platforms
 
+# Number of versions from one snapshot to the next.
 SNAPSHOT_PERIOD = 100
 RETAINED_CHANGES = 10_000
 MAX_READ_ATTEMPTS = 5
@@ -43,7 +44,9 @@
 async def read_head(
     platform: platforms.Platform,
 ) -> tuple[configurations.ConfigHead, int]:
-    """Return the head and the version of its row; 0 if there is no row.
+    """Return the head, which names the newest version, and its row version.
+
+    Without a row, the newest version and the row version are 0.
 
     Args:
         platform: Link to the platform.
--- a/wisteriawood/links/feeds.py
+++ b/wisteriawood/links/feeds.py
@@ -13,9 +13,9 @@
 _LOG = events.Logger(name=__name__)
 # Timeout of one long poll; a hung connection delays the feed by as much.
 LONG_POLL_S = 2.0
-# Delays after a loss of history at which the whole table is read again: the
-# store may return rows that are seconds old at that point, and the feed does
-# not return the changes that such a read missed.
+# Times after a loss of history at which the whole table is read again. The
+# read right after the loss may return rows that are seconds old, and the
+# changes that it misses do not appear in the feed later.
 AUDIT_DELAYS_S = (1.0, 3.0, 7.0)
 # Time for which the version of a removed row is remembered, so that a stale
 # read does not restore the row.
@@ -38,9 +38,9 @@
 
     Attributes:
         answered_at_s: Monotonic time of the last answer; 0 before the first.
-        unbroken_since_s: Monotonic time since which no call has failed; 0
-            after a failure.
         table: The table.
+        unbroken_since_s: Monotonic time of the first answer since the last
+            failure; 0 if there is none.
     """
 
     __slots__ = (
@@ -53,8 +53,8 @@
         "_versions",
         "_wakeup",
         "answered_at_s",
-        "unbroken_since_s",
         "table",
+        "unbroken_since_s",
     )
 
     def __init__(
@@ -91,7 +91,9 @@
                 _LOG.log(job_events.FEED_RESTARTED, table=self.table)
                 self._after = None
                 now_s = anyio.current_time()
-                self._audits_at_s = [now_s + after for after in AUDIT_DELAYS_S]
+                self._audits_at_s = [
+                    now_s + wait_s for wait_s in AUDIT_DELAYS_S
+                ]
                 continue
             except errors.PlatformError as exc:
                 if not is_failing:
--- a/wisteriawood/links/https.py
+++ b/wisteriawood/links/https.py
@@ -16,7 +16,7 @@
 ) -> None:
     """Serve an ASGI application until an event is set.
 
-    Requests in flight are completed before the server stops.
+    Requests in flight then have GRACEFUL_TIMEOUT_S to complete.
 
     Args:
         app: The application.
--- a/wisteriawood/links/messages.py
+++ b/wisteriawood/links/messages.py
@@ -77,8 +77,8 @@
             complete.
         holdings: Holdings that changed since the last report.
         demand: Slots that it could use, by team/service; only changes.
-        slowdowns: Latency of slow targets relative to that of their
-            peers.
+        slowdowns: Latency of slow targets relative to that of the other
+            targets of their service, by target.
         is_draining: Whether the entry host is returning its slots.
     """
 
--- a/wisteriawood/links/operators.py
+++ b/wisteriawood/links/operators.py
@@ -71,7 +71,7 @@
 def make_app(
     *,
     registry: prometheus_client.CollectorRegistry,
-    ready: typing.Callable[[], str],
+    unready_reason: typing.Callable[[], str],
     status: Status,
     explain: Explain | None = None,
 ) -> applications.Starlette:
@@ -79,8 +79,8 @@
 
     Args:
         registry: Metrics of the daemon.
-        ready: Returns the reason why the daemon is not ready; empty if it
-            is ready.
+        unready_reason: Returns the reason why the daemon is not ready;
+            empty if it is ready.
         status: Returns a record with the state of the daemon.
         explain: Returns the reason why a task waits; empty if it does not
             wait. None if the daemon has no tasks.
@@ -90,7 +90,7 @@
         return responses.PlainTextResponse("ok\n")
 
     async def _readyz(_request: requests.Request) -> responses.Response:
-        reason = ready()
+        reason = unready_reason()
         if reason:
             return responses.PlainTextResponse(reason + "\n", 503)
         return responses.PlainTextResponse("ready\n")
--- a/wisteriawood/links/platforms.py
+++ b/wisteriawood/links/platforms.py
@@ -136,7 +136,7 @@
 
 
 class Platform(typing.Protocol):
-    """Calls to the platform; a test bench may provide its own version.
+    """Calls to the platform; a test bench may have its own implementation.
 
     Every call raises PlatformUnavailableError if it is known to have had
     no effect, and a commit raises TransactionUnknownError if it may have
--- a/wisteriawood/links/stores.py
+++ b/wisteriawood/links/stores.py
@@ -198,7 +198,7 @@
                         "the store did not acknowledge the change in time"
                     )
                 raise errors.PlatformUnavailableError(
-                    f"the store does not accept changes: {cause}"
+                    f"the store does not take changes: {cause}"
                 )
         await anyio.sleep(delay_s)
         delay_s = min(2 * delay_s, MAX_RESEND_DELAY_S)
@@ -218,6 +218,7 @@
     rows: list[StoredRow] = []
     versions: list[int] = []
     parts = await store.parts(table)
+    # A table without partitions is read once, to obtain the version.
     for part in parts or [""]:
         page = await store.read(table, part)
         rows.extend(page.rows)
--- a/wisteriawood/links/targets.py
+++ b/wisteriawood/links/targets.py
@@ -12,7 +12,7 @@
 REQUEST_ID_HEADER = "x-request-id"
 DEADLINE_HEADER = "x-deadline-ms"
 CONNECT_TIMEOUT_S = 2.0
-SEND_TOO_LATE = "the slot was reclaimed before the request was sent"
+SEND_TOO_LATE = "the slot was taken back before the request could leave"
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -46,8 +46,8 @@
         size_bytes += len(chunk)
         if size_bytes > MAX_ANSWER_BYTES:
             raise errors.RequestUnknownError(
-                reason="the target's response is larger than "
-                f"{MAX_ANSWER_BYTES} bytes; split it into several responses",
+                reason=f"the target's answer is over {MAX_ANSWER_BYTES} "
+                "bytes; have the service answer in parts",
                 status=502,
             )
         chunks.append(chunk)
@@ -132,11 +132,11 @@
             httpx.PoolTimeout,
         ) as exc:
             raise errors.RequestNotRunError(
-                reason="can't connect to the target"
+                reason="the target refuses connections"
             ) from exc
         except (httpx.InvalidURL, httpx.UnsupportedProtocol) as exc:
             raise errors.RequestNotRunError(
-                reason="the path is invalid", status=400
+                reason="the path is not valid", status=400
             ) from exc
         except httpx.HTTPError as exc:
             raise errors.RequestUnknownError(
@@ -153,12 +153,11 @@
         answered_id = response.headers.get(REQUEST_ID_HEADER, request.id)
         if answered_id != request.id:
             raise errors.RequestUnknownError(
-                reason="the target answered a different request", status=502
+                reason="the target answered another request", status=502
             )
         if not _is_delimited(request, response):
             raise errors.RequestUnknownError(
-                reason="the target's response has no length; it may be "
-                "truncated",
+                reason="the target's answer has no length; it may be cut off",
                 status=502,
             )
         headers = [
--- a/wisteriawood/links/workers.py
+++ b/wisteriawood/links/workers.py
@@ -141,7 +141,7 @@
         """Renew the leases of attempts."""
 
     async def checkpoint(self, task: str, attempt: int) -> str:
-        """Write a checkpoint and return its object key."""
+        """Write a checkpoint and return its object key; empty if refused."""
 
     async def throttle(self, task: str, attempt: int, share: float) -> None:
         """Limit an attempt to a fraction of its resources, 0 to 1."""
@@ -206,7 +206,7 @@
         await self._call("POST", "/renew", command)
 
     async def checkpoint(self, task: str, attempt: int) -> str:
-        """Write a checkpoint and return its object key."""
+        """Write a checkpoint and return its object key; empty if refused."""
         response = await self._call(
             "POST", "/checkpoint", {"task": task, "attempt": attempt}
         )
--- a/wisteriawood/machines/daemons.py
+++ b/wisteriawood/machines/daemons.py
@@ -126,7 +126,7 @@
         host = self.host
         operator_app = operators.make_app(
             registry=host.counters.registry,
-            ready=host.unready_reason,
+            unready_reason=host.unready_reason,
             status=host.status,
         )
         role = holdings.Role.ENTRY
@@ -183,7 +183,7 @@
 
     operator_app = operators.make_app(
         registry=counters.registry,
-        ready=scheduler.unready_reason,
+        unready_reason=scheduler.unready_reason,
         status=scheduler.status,
         explain=scheduler.placer.explain,
     )
--- a/wisteriawood/soak/checks.py
+++ b/wisteriawood/soak/checks.py
@@ -284,6 +284,7 @@
         held = set(self.runs)
         answer = super().begin_run(order)
         if len(self.starts) > before:
+            # The checker adds the new run to those in `runs`.
             run = self.runs.pop(order.task_name)
             if order.task_name in held:
                 self._checker.record_breach(
--- a/wisteriawood/soak/faults.py
+++ b/wisteriawood/soak/faults.py
@@ -18,11 +18,11 @@
 FAULTS: registry.Registry[Fault] = registry.Registry(kind="fault")
 
 
-def _host(world: "worlds.SoakWorld", rng: random.Random):
+def _choose_host(world: "worlds.SoakWorld", rng: random.Random):
     return world.hosts[rng.choice(sorted(world.hosts))]
 
 
-def _directions(rng: random.Random) -> set[proxies.Direction]:
+def _choose_directions(rng: random.Random) -> set[proxies.Direction]:
     return set(
         rng.choice(
             (
@@ -38,7 +38,7 @@
     links: list[proxies.Proxy], rng: random.Random, max_s: float
 ) -> None:
     """Hold links for up to max_s seconds, then release or reset them."""
-    held = _directions(rng)
+    held = _choose_directions(rng)
     for link in links:
         link.held |= held
     await anyio.sleep(rng.uniform(0.3, max_s))
@@ -51,7 +51,7 @@
 
 @FAULTS.register("kill-host")
 async def _kill_host(world: "worlds.SoakWorld", rng: random.Random) -> None:
-    host = _host(world, rng)
+    host = _choose_host(world, rng)
     host.should_run = False
     host.kill()
     await anyio.sleep(rng.uniform(0.1, 2.5))
@@ -67,7 +67,7 @@
 
 @FAULTS.register("pause-host")
 async def _pause_host(world: "worlds.SoakWorld", rng: random.Random) -> None:
-    host = _host(world, rng)
+    host = _choose_host(world, rng)
     host.signal(signal.SIGSTOP)
     await anyio.sleep(rng.uniform(0.5, 6.0))
     host.signal(signal.SIGCONT)
@@ -75,7 +75,7 @@
 
 @FAULTS.register("stop-host")
 async def _stop_host(world: "worlds.SoakWorld", rng: random.Random) -> None:
-    host = _host(world, rng)
+    host = _choose_host(world, rng)
     host.should_run = False
     await host.stop()
     await anyio.sleep(rng.uniform(0.0, 1.0))
@@ -84,24 +84,26 @@
 
 @FAULTS.register("reload-host")
 async def _reload(world: "worlds.SoakWorld", rng: random.Random) -> None:
-    _host(world, rng).signal(signal.SIGHUP)
+    _choose_host(world, rng).signal(signal.SIGHUP)
 
 
 @FAULTS.register("cut-host-from-store")
 async def _cut_store(world: "worlds.SoakWorld", rng: random.Random) -> None:
-    await _hold_links([world.store_links[_host(world, rng).name]], rng, 5.0)
+    await _hold_links(
+        [world.store_links[_choose_host(world, rng).name]], rng, 5.0
+    )
 
 
 @FAULTS.register("reset-links-of-host")
 async def _reset(world: "worlds.SoakWorld", rng: random.Random) -> None:
-    name = _host(world, rng).name
+    name = _choose_host(world, rng).name
     for link in world.links_of(name):
         link.reset()
 
 
 @FAULTS.register("slow-links-of-host")
 async def _slow(world: "worlds.SoakWorld", rng: random.Random) -> None:
-    links = world.links_of(_host(world, rng).name)
+    links = world.links_of(_choose_host(world, rng).name)
     for link in links:
         link.delay_s = rng.uniform(0.02, 0.3)
     await anyio.sleep(rng.uniform(1.0, 4.0))
@@ -111,7 +113,7 @@
 
 @FAULTS.register("cut-host-from-workers")
 async def _cut_workers(world: "worlds.SoakWorld", rng: random.Random) -> None:
-    name = _host(world, rng).name
+    name = _choose_host(world, rng).name
     await _hold_links(list(world.worker_links[name].values()), rng, 4.0)
 
 
--- a/wisteriawood/soak/proxies.py
+++ b/wisteriawood/soak/proxies.py
@@ -69,6 +69,7 @@
         """Reset all connections."""
         for stream in list(self._streams):
             raw = stream.extra(abc.SocketAttribute.raw_socket)
+            # With a linger time of 0, closing the socket sends a reset.
             linger = struct.pack("ii", 1, 0)
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             raw.shutdown(socket.SHUT_RDWR)
--- a/wisteriawood/standins/clusters.py
+++ b/wisteriawood/standins/clusters.py
@@ -32,12 +32,12 @@
     """
     sockets = []
     for _number in range(count):
-        found = socket.socket()
-        found.bind((HOST, 0))
-        sockets.append(found)
-    ports = [found.getsockname()[1] for found in sockets]
-    for found in sockets:
-        found.close()
+        probe = socket.socket()
+        probe.bind((HOST, 0))
+        sockets.append(probe)
+    ports = [probe.getsockname()[1] for probe in sockets]
+    for probe in sockets:
+        probe.close()
     return ports
 
 
@@ -247,8 +247,8 @@
         self, zone: str, number: int, ports: typing.Iterator[int]
     ) -> None:
         name = f"{zone}-{number}"
-        pair = EntryHostAddresses(name=name, zone=zone, ports=ports)
-        self.pairs[name] = pair
+        entry_host = EntryHostAddresses(name=name, zone=zone, ports=ports)
+        self.pairs[name] = entry_host
         await self.start_scheduler(name)
         await self.start_entry(name)
 
@@ -258,13 +258,13 @@
         Args:
             name: Name of the entry host.
         """
-        pair = self.pairs[name]
+        entry_host = self.pairs[name]
         await self._start_daemon(
             "scheduler",
-            pair,
+            entry_host,
             {
-                "peer_address": pair.scheduler_peer_address,
-                "operator_address": pair.scheduler_operator_address,
+                "peer_address": entry_host.scheduler_peer_address,
+                "operator_address": entry_host.scheduler_operator_address,
                 "trace_file": str(self.folder / f"scheduler-{name}.spans"),
             },
         )
@@ -275,31 +275,34 @@
         Args:
             name: Name of the entry host.
         """
-        pair = self.pairs[name]
+        entry_host = self.pairs[name]
         await self._start_daemon(
             "entry",
-            pair,
+            entry_host,
             {
-                "caller_address": pair.caller_address,
-                "peer_address": pair.entry_peer_address,
-                "operator_address": pair.entry_operator_address,
+                "caller_address": entry_host.caller_address,
+                "peer_address": entry_host.entry_peer_address,
+                "operator_address": entry_host.entry_operator_address,
                 "trace_file": str(self.folder / f"entry-{name}.spans"),
             },
         )
 
     async def _start_daemon(
-        self, role: str, pair: EntryHostAddresses, settings: dict[str, str]
+        self,
+        role: str,
+        entry_host: EntryHostAddresses,
+        settings: dict[str, str],
     ) -> None:
         settings = settings | {
-            "name": pair.name,
-            "zone": pair.zone,
+            "name": entry_host.name,
+            "zone": entry_host.zone,
             "region": self._region,
             "platform_url": self.platform_url,
-            "log_file": str(self.folder / f"{role}-{pair.name}.events"),
+            "log_file": str(self.folder / f"{role}-{entry_host.name}.events"),
         }
-        path = self.folder / f"{role}-{pair.name}.json"
+        path = self.folder / f"{role}-{entry_host.name}.json"
         path.write_text(json.dumps(settings, indent=2), encoding="utf-8")
-        await self._start(f"{role}/{pair.name}", [role, str(path)])
+        await self._start(f"{role}/{entry_host.name}", [role, str(path)])
 
     async def _wait_for(self, url: str) -> None:
         with anyio.move_on_after(READY_TIMEOUT_S):
--- a/wisteriawood/standins/demos.py
+++ b/wisteriawood/standins/demos.py
@@ -109,7 +109,8 @@
         self._progress(f"submitted {len(self._specs)} tasks")
         self._load = loads.Load(
             addresses=[
-                pair.caller_address for pair in self._cluster.pairs.values()
+                entry_host.caller_address
+                for entry_host in self._cluster.pairs.values()
             ],
             path=f"/{self._team}/{self._service}/check",
             rng=random.Random(self._seed),
@@ -163,7 +164,7 @@
         self._progress(f"sent {len(self._load.seen)} requests")
         batch = await self._wait_for_jobs()
         self._progress("stopping the entry hosts while requests are sent")
-        results = await self._check(batch)
+        results = await self._stop_and_check(batch)
         self._print(batch, results)
         return results
 
@@ -183,16 +184,17 @@
                 return found
             await anyio.sleep(0.5)
 
-    async def _check(
+    async def _stop_and_check(
         self, batch: list[tasks.Task]
     ) -> list[checks.CheckResult]:
         cluster = self._cluster
+        # _inject_faults killed the first entry host.
         alive = [name for name in cluster.pairs][1:]
         unclean: list[str] = []
 
         async def _stop() -> None:
-            stopped = await cluster.stop_entry_hosts()
-            unclean.extend(n for n in stopped if n.split("/")[1] in alive)
+            names = await cluster.stop_entry_hosts()
+            unclean.extend(n for n in names if n.split("/")[1] in alive)
 
         before = len(self._load.seen)
         async with anyio.create_task_group() as group:
--- a/wisteriawood/standins/processes.py
+++ b/wisteriawood/standins/processes.py
@@ -1,8 +1,8 @@
 """Simulated processes and links that can be cut, frozen and killed.
 
-A process is a cancel scope, and a link carries direct method calls, which
-a cut, a frozen process or a killed process delays or fails. Tests run the
-simulation in virtual time.
+A process is a cancel scope. A link forwards method calls directly; a call
+waits while its caller is frozen, and fails if the link is cut or its callee
+has been killed. Tests run the simulation in virtual time.
 """
 
 import functools
@@ -244,7 +244,7 @@
                 the answer belongs to another request.
         """
         if anyio.current_time() >= request.send_by_s:
-            raise errors.RequestNotRunError(reason=target_links.TOO_LATE)
+            raise errors.RequestNotRunError(reason=target_links.SEND_TOO_LATE)
         replies: list[targets.Reply] = []
         done = anyio.Event()
 
--- a/wisteriawood/standins/runners.py
+++ b/wisteriawood/standins/runners.py
@@ -1,4 +1,4 @@
-"""Stand-in for a worker of the platform, and the link to it."""
+"""Stand-in for a worker that runs the tasks of jobs, and the link to it."""
 
 import typing
 
--- a/wisteriawood/standins/stores.py
+++ b/wisteriawood/standins/stores.py
@@ -136,11 +136,11 @@
         self._store = store
         self._host = host
 
-    async def _apply_call_faults(self, call_s: float) -> None:
+    async def _apply_call_faults(self, delay_s: float) -> None:
         if self._host in self._store.cut_hosts:
             await anyio.sleep(CALL_TIMEOUT_S)
             raise errors.PlatformUnavailableError("no answer")
-        await anyio.sleep(call_s)
+        await anyio.sleep(delay_s)
         if self._store.is_down:
             raise errors.PlatformUnavailableError("the store is down")
 
--- a/wisteriawood/standins/workers.py
+++ b/wisteriawood/standins/workers.py
@@ -1,4 +1,4 @@
-"""Stand-in for a worker with fault injection."""
+"""Stand-in for a worker that runs attempts, with fault injection."""
 
 import dataclasses
 import typing
@@ -207,7 +207,7 @@
 
     async def _run_attempt(self, attempt: Attempt) -> None:
         if self.faults.fails_everything or attempt.spec.arguments.get("fails"):
-            attempt.reason = "injected failure"
+            attempt.reason = "failed as told"
             self._end(attempt, workers.AttemptState.FAILED)
             return
         is_service = attempt.spec.kind == tasks.TaskKind.SERVICE
--- a/wisteriawood/standins/worlds.py
+++ b/wisteriawood/standins/worlds.py
@@ -22,11 +22,11 @@
 from wisteriawood.telemetry import spans
 
 
-def _not_run(reason: str) -> Exception:
+def _not_run_error(reason: str) -> Exception:
     return errors.RequestNotRunError(reason=reason)
 
 
-def _unknown(reason: str) -> Exception:
+def _unknown_error(reason: str) -> Exception:
     return errors.RequestUnknownError(reason=reason)
 
 
@@ -171,8 +171,8 @@
             inner=processes.MemoryTargetLink(
                 group=self._group, target=self.targets[address]
             ),
-            unsent=_not_run,
-            unknown=_unknown,
+            unsent=_not_run_error,
+            unknown=_unknown_error,
         )
 
     @contextlib.asynccontextmanager
--- a/wisteriawood/tests/faults/process_tests.py
+++ b/wisteriawood/tests/faults/process_tests.py
@@ -138,6 +138,7 @@
                 operator = cluster.pairs[alive].entry_operator_address
                 status = await cluster.get(f"http://{operator}/status")
                 slots = sum(t["slots"] for t in status["targets"])
+                # Two instances of the service with eight slots each.
                 return slots == 16
 
             await wait_for(_has_all_slots)
--- a/wisteriawood/tests/operators_tests.py
+++ b/wisteriawood/tests/operators_tests.py
@@ -19,7 +19,7 @@
     async def _main():
         app = operators.make_app(
             registry=metrics.SchedulerMetrics().registry,
-            ready=lambda: "draining",
+            unready_reason=lambda: "draining",
             status=lambda: {"pending": 1},
             **options,
         )
