--- a/wisteriawood/bench/__main__.py
+++ b/wisteriawood/bench/__main__.py
@@ -7,13 +7,14 @@
 from wisteriawood.bench import base
 from wisteriawood.policies import registry
 
-KNOWN_RED = pathlib.Path(__file__).parents[2] / "KNOWN-RED.txt"
+KNOWN_RED_PATH = pathlib.Path(__file__).parents[2] / "KNOWN-RED.txt"
 
 
-def _known_red() -> set[str]:
-    if not KNOWN_RED.exists():
+def _read_known_red() -> set[str]:
+    """Return the names of the measurements that are known to fail."""
+    if not KNOWN_RED_PATH.exists():
         return set()
-    lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
+    lines = KNOWN_RED_PATH.read_text(encoding="utf-8").splitlines()
     return {
         line.split()[1]
         for line in lines
@@ -28,18 +29,19 @@
         names: Names of the benchmarks to run; empty for all.
     """
     registry.load_modules(bench)
-    known = _known_red()
+    known = _read_known_red()
     failures = 0
     for name in names or base.BENCHMARKS.names():
         print(f"== {name}")
-        for measure in base.BENCHMARKS.get(name)():
-            verdict = "" if not measure.format_bounds() else "ok"
-            if not measure.is_within_bounds():
-                verdict = "known red" if measure.name in known else "RED"
+        for measurement in base.BENCHMARKS.get(name)():
+            verdict = "" if not measurement.format_bounds() else "ok"
+            if not measurement.is_within_bounds():
+                verdict = "known red" if measurement.name in known else "RED"
                 failures += verdict == "RED"
             print(
-                f"{measure.name:<52} {measure.value:>10.4g} "
-                f"{measure.unit:<8} {measure.format_bounds():<10} {verdict}"
+                f"{measurement.name:<52} {measurement.value:>10.4g} "
+                f"{measurement.unit:<8} {measurement.format_bounds():<10} "
+                f"{verdict}"
             )
     print(f"{failures} bounds broken")
     return 1 if failures else 0
--- a/wisteriawood/bench/capacity.py
+++ b/wisteriawood/bench/capacity.py
@@ -7,6 +7,7 @@
 
 DOCS = pathlib.Path(__file__).parents[2] / "docs"
 
+# Design size.
 WORKERS = 20_000
 TASKS = 270_000
 TARGETS = 130_000
@@ -18,9 +19,12 @@
 ENTRY_HOSTS_PER_TEAM = 6.5
 DAY_S = 86_400.0
 
-MAX_CORES_PERCENT = 1.6
+# Limits of each node.
+MAX_CORE_PERCENT = 1.6
 MAX_MEMORY_MB = 64.0
 MAX_WIRE_KB_PER_S = 5.0
+
+# Limits of the table, for all daemons together.
 MAX_WRITES_PER_S = 300.0
 MAX_READS_PER_S = 2_000.0
 
@@ -89,25 +93,27 @@
 
 
 def _entry_rows(slopes: Slopes) -> list[CostRow]:
-    per_zone = _entry_host_count() / ZONES
+    schedulers_per_zone = _entry_host_count() / ZONES
     link_us_per_s = slopes.get("slots/35-targets/entry-host")
     change_ms = slopes.get("configuration.change.cpu_ms")
     changes_per_s = CHANGES_PER_DAY / DAY_S
+    # The idle daemon was measured with a link to one scheduler.
     core_percent = (
         slopes.get("control/entry/processor")
-        + 100 * (per_zone - 1) * link_us_per_s / 1e6
+        + 100 * (schedulers_per_zone - 1) * link_us_per_s / 1e6
         + 100 * changes_per_s * change_ms / 1e3
     )
-    wire_bytes_per_s = per_zone * slopes.get(
+    wire_bytes_per_s = schedulers_per_zone * slopes.get(
         "slots/35-targets/quiet-link"
     ) + changes_per_s * slopes.get("configuration.change.polled_bytes")
     return [
         CostRow(
             role="entry",
-            quantity=f"idle CPU time, links to {per_zone:.0f} schedulers",
+            quantity="idle CPU time, links to "
+            f"{schedulers_per_zone:.0f} schedulers",
             value=core_percent,
             unit="% core",
-            limit=MAX_CORES_PERCENT,
+            limit=MAX_CORE_PERCENT,
             mechanism="reports contain only changes; one report every 0.5 s",
         ),
         CostRow(
@@ -158,6 +164,7 @@
 
 def _scheduler_memory_mb(slopes: Slopes) -> float:
     """Return the memory of one scheduler in MB."""
+    # The memory of a target is taken to be the bytes of its first grants.
     total_bytes = (
         WORKERS * slopes.get("tasks/memory/index-per-worker")
         + TASKS * slopes.get("recovery/starts/memory-per-task")
@@ -178,7 +185,7 @@
             f"{schedulers / ZONES:.0f} entry hosts",
             value=_scheduler_core_percent(slopes),
             unit="% core",
-            limit=MAX_CORES_PERCENT,
+            limit=MAX_CORE_PERCENT,
             mechanism="racks spread over all entry hosts; one renewal per "
             "worker; indexed placement",
         ),
@@ -219,7 +226,7 @@
             quantity="scheduler CPU time to control a worker",
             value=slopes.get("control/worker/processor"),
             unit="% core",
-            limit=MAX_CORES_PERCENT,
+            limit=MAX_CORE_PERCENT,
             mechanism="one inventory and one renewal per second for all tasks",
         ),
         CostRow(
@@ -296,7 +303,8 @@
         ),
         CostRow(
             role="peer links",
-            quantity="configuration relayed to hosts without the platform",
+            quantity="configuration relayed to hosts cut off from the "
+            "platform",
             value=changes_per_s
             * slopes.get("configuration.change.passed_on_bytes")
             / 1e3,
@@ -326,7 +334,7 @@
 {_entry_host_count():.0f} entry hosts, each with an entry daemon and a
 scheduler. Racks and targets are distributed evenly over them.
 
-The limits per node are {MAX_CORES_PERCENT}% of a core,
+The limits per node are {MAX_CORE_PERCENT}% of a core,
 {MAX_MEMORY_MB:.0f} MB and {MAX_WIRE_KB_PER_S:.0f} KB per second. On an
 entry host each daemon is measured separately, while idle. For a worker,
 where no process of this project runs, the cost of its control on other
@@ -374,9 +382,9 @@
    reader per zone that forwards rows over the peer links, as versions of
    the configuration are forwarded already.
 2. **Writes of member rows.** An entry host makes {writes:.2f} writes per
-   second. The limit of several hundred writes per second is reached with
-   {MAX_WRITES_PER_S / writes:,.0f} entry hosts. Proposed change: one daemon
-   per zone that combines the renewals.
+   second. The limit of {MAX_WRITES_PER_S:.0f} writes per second is reached
+   with {MAX_WRITES_PER_S / writes:,.0f} entry hosts. Proposed change: one
+   daemon per zone that combines the renewals.
 3. **Slot links.** Each entry host has a link to each scheduler of its zone,
    so a zone with n entry hosts has n x n links. Proposed change: links only
    to the schedulers whose targets serve the teams of the entry host.
--- a/wisteriawood/bench/colocations.py
+++ b/wisteriawood/bench/colocations.py
@@ -1,4 +1,4 @@
-"""Simulates tasks that slow each other on workers, to compare policies."""
+"""Simulates tasks that slow each other down, to compare policies."""
 
 import collections
 import dataclasses
@@ -24,11 +24,14 @@
 REPORT_LAG_S = 3
 # Core-seconds of batch jobs submitted each second, as a share of all cores.
 OFFERED_SHARE = 0.4
-# Share of the noisy class among the batch jobs submitted in a wave.
+# Every WAVE_PERIOD_S starts with a wave of noisy jobs: for WAVE_LENGTH_S,
+# this share of the submitted batch jobs is of the noisy class.
 WAVE_NOISY_SHARE = 0.7
 WAVE_PERIOD_S = 150
 WAVE_LENGTH_S = 40
+# Time that an evicted task takes to write its checkpoint and stop.
 CHECKPOINT_S = 3
+# Share of the evictions in which the checkpoint is lost.
 CHECKPOINT_LOST_SHARE = 0.1
 RESTART_S = 5.0
 
@@ -80,13 +83,14 @@
     """Results of a run of the simulation.
 
     Attributes:
-        slowdowns: Slowdown of each service instance in each second.
+        slowdowns: Slowdown of each service instance in each second after
+            the first minute.
         finished_core_s: Work of the finished jobs in core-seconds.
         lost_core_s: Work since the last checkpoint of evicted and killed
             jobs, and their restarts, in core-seconds.
-        evictions: Number of evicted jobs.
-        overruns: Number of jobs killed because their worker was out of
-            memory.
+        evictions: Number of evictions of jobs.
+        overruns: Number of times that a job was killed because its worker
+            was out of memory.
         max_allocated_share: Largest share of a worker's memory that the
             allocator had allocated.
     """
@@ -99,9 +103,9 @@
     max_allocated_share: float = 0.0
 
     def p99_slowdown(self) -> float:
-        """Return the 99th percentile slowdown, which 1% of them exceed."""
-        found = sorted(self.slowdowns)
-        return found[int(0.99 * len(found))]
+        """Return the 99th percentile of the slowdowns."""
+        ordered = sorted(self.slowdowns)
+        return ordered[int(0.99 * len(ordered))]
 
 
 class ColocationSimulation:
@@ -121,12 +125,12 @@
     __slots__ = (
         "_are_sizes_exact",
         "_delayed_reports",
-        "_number",
-        "_offered_core_s",
         "_rng",
         "_site",
+        "_submitted_count",
         "_tasks",
         "_true_slowdowns",
+        "_unsubmitted_core_s",
         "_workload_rng",
         "allocator",
         "monitor",
@@ -181,8 +185,8 @@
         self._delayed_reports: dict[str, collections.deque] = {
             worker.name: collections.deque() for worker in self.workers
         }
-        self._number = 0
-        self._offered_core_s = 0.0
+        self._submitted_count = 0
+        self._unsubmitted_core_s = 0.0
         self.now_s = 0.0
         self.result = SimulationResult()
 
@@ -190,7 +194,7 @@
         self, task_class: sites.TaskClass, kind: tasks.TaskKind
     ) -> None:
         rng = self._workload_rng
-        self._number += 1
+        self._submitted_count += 1
         actual = resources.Resources(
             cores=task_class.cores * math.exp(rng.gauss(0, 0.15)),
             memory_bytes=int(
@@ -209,7 +213,7 @@
             )
         run_s = task_class.run_s * math.exp(rng.gauss(0, 0.4))
         spec = tasks.TaskSpec(
-            id=f"{task_class.name}-{self._number}",
+            id=f"{task_class.name}-{self._submitted_count}",
             team=self._site.team,
             kind=kind,
             needs=declared,
@@ -245,13 +249,13 @@
     def _submit_batch(self, second: int) -> None:
         in_wave = second % WAVE_PERIOD_S < WAVE_LENGTH_S
         rng = self._workload_rng
-        self._offered_core_s += OFFERED_SHARE * 64 * self._site.workers
-        while self._offered_core_s > 0:
+        self._unsubmitted_core_s += OFFERED_SHARE * 64 * self._site.workers
+        while self._unsubmitted_core_s > 0:
             if in_wave and rng.random() < WAVE_NOISY_SHARE:
                 task_class = self._site.batch[-1]
             else:
                 task_class = rng.choice(self._site.batch[:-1])
-            self._offered_core_s -= task_class.cores * task_class.run_s
+            self._unsubmitted_core_s -= task_class.cores * task_class.run_s
             self._submit(task_class, tasks.TaskKind.BATCH)
 
     def _step_workers(self, second: int) -> None:
@@ -375,9 +379,9 @@
         self._enqueue(simulated.spec)
 
     def _kill_overruns(self, worker: workers.Worker) -> None:
-        found = [self._tasks[task_id] for task_id in worker.placements]
-        used = sum(simulated.actual.memory_bytes for simulated in found)
-        for simulated in reversed(found):
+        running = [self._tasks[task_id] for task_id in worker.placements]
+        used = sum(simulated.actual.memory_bytes for simulated in running)
+        for simulated in reversed(running):
             if used <= worker.capacity.memory_bytes:
                 return
             if simulated.spec.kind == tasks.TaskKind.BATCH:
--- a/wisteriawood/bench/configuration.py
+++ b/wisteriawood/bench/configuration.py
@@ -28,7 +28,7 @@
 START_SPREAD_S = 1.0
 LATE_ISOLATION_S = 0.1
 TEAMS = 140
-SERVICES = 4
+SERVICES_PER_TEAM = 4
 CPU_CHANGES = 500
 MAX_CHANGE_CPU_MS = 2.0
 
@@ -67,7 +67,7 @@
 
 
 class ActivationTimes:
-    """Times at which entry hosts put versions in force.
+    """Times at which entry hosts activated configuration versions.
 
     Args:
         world: World whose entry hosts are observed.
@@ -80,7 +80,7 @@
         self._activated_s: dict[tuple[str, int], float] = {}
 
     async def watch(self, name: str) -> None:
-        """Record when a host changes its version, until cancelled.
+        """Record when a host activates a version, until cancelled.
 
         Args:
             name: Name of the entry host.
@@ -94,7 +94,9 @@
             await changed.wait()
 
     def delays_s(self, version: int, *, accepted_s: float) -> list[float]:
-        """Return each host's delay from acceptance to being in force.
+        """Return each host's delay from acceptance to activation.
+
+        The delay is infinite if the host has not activated the version.
 
         Args:
             version: Version number.
@@ -188,7 +190,9 @@
 
 
 def _make_document() -> configuration.Document:
-    services = {f"service-{n}": {"deadline_ms": 500} for n in range(SERVICES)}
+    services = {
+        f"service-{n}": {"deadline_ms": 500} for n in range(SERVICES_PER_TEAM)
+    }
     return {
         "teams": {f"team-{n}": {"services": services} for n in range(TEAMS)}
     }
@@ -241,13 +245,13 @@
         "bytes of a heartbeat": len(cbor.encode(heartbeat)),
         "bytes of a whole version": len(rows.to_json(_make_document())),
     }
-    found = [
+    measurements = [
         base.Measurement(
             name=f"configuration/{name}", value=size, unit="bytes"
         )
         for name, size in sizes_bytes.items()
     ]
-    found.append(
+    measurements.append(
         base.Measurement(
             name=f"configuration/{TEAMS} teams/CPU of a change on a host",
             value=_measure_cpu_ms(),
@@ -255,13 +259,15 @@
             at_most=MAX_CHANGE_CPU_MS,
         )
     )
-    return found
+    return measurements
 
 
 @base.BENCHMARKS.register("configuration")
-def run() -> list[base.Measurement]:
+def bench_configuration() -> list[base.Measurement]:
     """Measure changes in virtual time, and their bytes and CPU time."""
-    found = [
-        measure for case in CASES for measure in _measure_activation(case)
+    measurements = [
+        measurement
+        for case in CASES
+        for measurement in _measure_activation(case)
     ]
-    return found + _measure_costs()
+    return measurements + _measure_costs()
--- a/wisteriawood/bench/control.py
+++ b/wisteriawood/bench/control.py
@@ -128,8 +128,9 @@
         )
 
 
-def _slope(fewer: float, more: float, added: int) -> float:
-    return max(0.0, more - fewer) / added
+def _slope(baseline: float, enlarged: float, added: int) -> float:
+    """Return the increase per added worker or host; 0 for a decrease."""
+    return max(0.0, enlarged - baseline) / added
 
 
 async def _run() -> list[base.Measurement]:
--- a/wisteriawood/bench/recovery.py
+++ b/wisteriawood/bench/recovery.py
@@ -1,4 +1,4 @@
-"""Measures the takeover from a dead scheduler, and the cost of starts."""
+"""Measures the takeover from a dead scheduler, and the cost of task starts."""
 
 import gc
 import json
@@ -142,7 +142,7 @@
     renewals = dead.membership.own.renewals
     while dead.membership.own.renewals == renewals:
         await anyio.sleep(0.01)
-    # Right after a renewal, when the longest part of the term remains.
+    # A takeover takes longest if the scheduler dies right after a renewal.
     await anyio.sleep(0.02)
     await _add_running_tasks(world, count)
     world.processes["scheduler/dead"].kill()
@@ -152,13 +152,15 @@
     before = tracemalloc.get_traced_memory()[0]
     while len(_placements(scheduler)) < count:
         await anyio.sleep(0.05)
-    figures["seconds"] = anyio.current_time() - killed_at_s
+    figures["takeover_s"] = anyio.current_time() - killed_at_s
     gc.collect()
-    figures["bytes"] = tracemalloc.get_traced_memory()[0] - before
+    figures["memory_bytes"] = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     cpu_before_s = time.process_time()
     await anyio.sleep(STEADY_SECONDS)
-    figures["steady_s"] = (time.process_time() - cpu_before_s) / STEADY_SECONDS
+    figures["steady_cpu_s_per_s"] = (
+        time.process_time() - cpu_before_s
+    ) / STEADY_SECONDS
 
 
 async def _measure_starts(world: worlds.World, figures: dict) -> None:
@@ -181,10 +183,10 @@
     while _count_running(replicas) < total:
         await anyio.sleep(0.05)
     elapsed_s = anyio.current_time() - started_s
-    # Without the writes of the 10 submissions per second.
+    # Excludes the writes of the benchmark: 10 submissions per second.
     own_writes = counts.writes - writes - 10 * START_SECONDS
     figures["rate"] = total / elapsed_s
-    figures["last_start_s"] = elapsed_s - START_SECONDS
+    figures["last_start_delay_s"] = elapsed_s - START_SECONDS
     figures["writes_per_s"] = own_writes / elapsed_s
     figures["writes_per_start"] = own_writes / total
     figures["reads_per_start"] = (counts.reads - reads) / total
@@ -213,33 +215,34 @@
     return figures
 
 
-def _write_slopes(measures: list[base.Measurement]) -> None:
+def _write_slopes(measurements: list[base.Measurement]) -> None:
     slopes = [
         {
-            "name": measure.name,
-            "value": measure.value,
-            "unit": measure.unit,
-            "per": measure.name.split("-per-")[-1],
+            "name": measurement.name,
+            "value": measurement.value,
+            "unit": measurement.unit,
+            "per": measurement.name.split("-per-")[-1],
             "command": COMMAND,
         }
-        for measure in measures
-        if "-per-" in measure.name
+        for measurement in measurements
+        if "-per-" in measurement.name
     ]
     text = json.dumps(slopes, indent=2) + "\n"
     SLOPES_PATH.write_text(text, encoding="utf-8")
 
 
 @base.BENCHMARKS.register("recovery")
-def measure() -> list[base.Measurement]:
-    """Measure takeovers, starts and their cost."""
-    measures = []
+def bench_recovery() -> list[base.Measurement]:
+    """Measure takeovers, task starts and their cost."""
+    measurements = []
+    # After the loop, the figures of the largest number of tasks.
     figures: dict[str, float] = {}
     for count in TASK_COUNTS:
         figures = _run(_measure_takeover, count)
-        measures.append(
+        measurements.append(
             base.Measurement(
                 name=f"recovery/{count}-tasks/takeover",
-                value=figures["seconds"],
+                value=figures["takeover_s"],
                 unit="s",
                 at_most=10.0,
             )
@@ -248,27 +251,27 @@
     starts = _run(_measure_starts)
     for name, value, unit, at_most, at_least in (
         ("rate", starts["rate"], "1/s", None, 900.0),
-        ("last-after", starts["last_start_s"], "s", None, None),
+        ("last-after", starts["last_start_delay_s"], "s", None, None),
         ("writes", starts["writes_per_s"], "1/s", 200.0, None),
         ("writes-per-start", starts["writes_per_start"], "", None, None),
         ("reads-per-start", starts["reads_per_start"], "", None, None),
         ("cpu-per-start", starts["cpu_per_start_s"], "s", None, None),
         (
             "cpu-per-worker",
-            figures["steady_s"] / worker_count,
+            figures["steady_cpu_s_per_s"] / worker_count,
             "s/s",
             None,
             None,
         ),
         (
             "memory-per-task",
-            figures["bytes"] / TASK_COUNTS[-1],
+            figures["memory_bytes"] / TASK_COUNTS[-1],
             "B",
             None,
             None,
         ),
     ):
-        measures.append(
+        measurements.append(
             base.Measurement(
                 name=f"recovery/starts/{name}",
                 value=value,
@@ -277,5 +280,5 @@
                 at_least=at_least,
             )
         )
-    _write_slopes(measures)
-    return measures
+    _write_slopes(measurements)
+    return measurements
--- a/wisteriawood/bench/relay.py
+++ b/wisteriawood/bench/relay.py
@@ -26,8 +26,8 @@
 ZONE = "linz-a"
 TEAM = "vitrinenklima"
 SERVICE = "humidity"
-SLOTS = 8
-SERVICES = 4
+SLOTS_PER_INSTANCE = 8
+INSTANCES = 4
 CALLERS = 16
 ROUND_S = 4.0
 ROUNDS = 3
@@ -106,7 +106,7 @@
             await cluster.stop()
 
 
-async def _start_services(cluster: clusters.LocalCluster) -> None:
+async def _start_service(cluster: clusters.LocalCluster) -> None:
     platform = cluster.platform()
     document = {
         "teams": {TEAM: {"services": {SERVICE: {"deadline_ms": 5000}}}}
@@ -118,11 +118,11 @@
             team=TEAM,
             kind=tasks.TaskKind.SERVICE,
             service=SERVICE,
-            slots=SLOTS,
+            slots=SLOTS_PER_INSTANCE,
             needs=resources.Resources(cores=1.0, memory_bytes=MEMORY_BYTES),
             arguments={"service_s": "0"},
         )
-        for number in range(SERVICES)
+        for number in range(INSTANCES)
     ]
     await jobs.submit(platform, specs, zone=ZONE)
     await platform.aclose()
@@ -139,7 +139,7 @@
 
 async def _run() -> list[base.Measurement]:
     async with _cluster() as cluster:
-        await _start_services(cluster)
+        await _start_service(cluster)
         address = f"{clusters.HOST}:{clusters.free_ports(1)[0]}"
         target_url = await _target_url(cluster)
         relay = await cluster.start_python(
--- a/wisteriawood/bench/request_costs.py
+++ b/wisteriawood/bench/request_costs.py
@@ -49,7 +49,7 @@
     held = [await service.acquire(request) for _ in range(slots * 3 // 4)]
     result = services.AttemptResult(
         verdict=outliers.Verdict.GOOD,
-        latency_s=zone_fakes.MEAN_SERVICE_S,
+        latency_s=zone_fakes.MEAN_SERVICE_TIME_S,
         is_done=True,
     )
     started_s = time.process_time()
--- a/wisteriawood/bench/requests.py
+++ b/wisteriawood/bench/requests.py
@@ -23,6 +23,7 @@
     zone_fakes.ZoneSize(team="kroupa", targets=35, slots=8, delay_s=0.0045),
 )
 LOADS = (0.5, 0.7, 0.85, 0.95)
+# Load at which the p99 latency has a bound.
 BOUND_LOAD = 0.85
 SLOWED_LOAD = 0.7
 ARRIVALS = 2000
@@ -42,7 +43,7 @@
 COST_TARGET_COUNTS = (25, 100, 400)
 
 
-def run(function: typing.Callable, *args, **kwargs) -> typing.Any:
+def run_virtual(function: typing.Callable, *args, **kwargs) -> typing.Any:
     """Run an async function in virtual time and return its result."""
     return anyio.run(
         functools.partial(function, *args, **kwargs),
@@ -73,7 +74,7 @@
     return sketch.get_quantile_value(0.99)
 
 
-def strict_turns_p99_s(
+def strict_round_robin_p99_s(
     size: zone_fakes.ZoneSize, arrivals: list[zone_fakes.Arrival]
 ) -> float:
     """Return the 99th percentile latency of strict round robin.
@@ -101,7 +102,7 @@
 
 
 async def slow_targets(zone: zone_fakes.FakeZone) -> None:
-    """Slow every fifth target by a factor of 3."""
+    """Slow down every fifth target by a factor of 3."""
     for number, target in enumerate(zone.fake_targets.values()):
         if number % SLOWED_TARGET_INTERVAL == 0:
             target.slowdown = SLOWDOWN_FACTOR
@@ -131,29 +132,27 @@
 
 
 def summarize(
-    name: str, size: zone_fakes.ZoneSize, outcome: zone_fakes.Outcome
+    name: str, size: zone_fakes.ZoneSize, result: zone_fakes.RunResult
 ) -> typing.Iterator[base.Measurement]:
     """Yield latencies, shed share and slot use of a run.
 
     Args:
         name: Name of the run.
         size: Size of the zone.
-        outcome: Outcome that the callers observed.
+        result: Result that the callers observed.
     """
     for label, quantile in (("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)):
         yield base.Measurement(
             name=f"{name}/{label}",
-            value=1000 * outcome.quantile_s(quantile),
+            value=1000 * result.quantile_s(quantile),
             unit="ms",
         )
-    shed_share = outcome.shed / (
-        outcome.answered + outcome.shed + outcome.unknown
-    )
+    shed_share = result.shed / (result.answered + result.shed + result.unknown)
     yield base.Measurement(name=f"{name}/shed", value=shed_share, unit="share")
     slots = size.targets * size.slots
     yield base.Measurement(
         name=f"{name}/slot-use",
-        value=outcome.busy_s / outcome.last_s / slots,
+        value=result.busy_s / result.last_s / slots,
         unit="share",
     )
 
@@ -168,12 +167,12 @@
         for policy in (routing_base.DEFAULT, "random"):
             name = f"requests/{size.team}/load-{load:.0%}/{policy}"
             zone = zone_fakes.FakeZone(size=size, policy=policy)
-            outcome = run(zone.run, arrivals, deadline_s=DEADLINE_S)
-            yield from summarize(name, size, outcome)
+            result = run_virtual(zone.run, arrivals, deadline_s=DEADLINE_S)
+            yield from summarize(name, size, result)
             has_bound = load == BOUND_LOAD and policy == routing_base.DEFAULT
             yield base.Measurement(
                 name=f"{name}/p99-over-ideal",
-                value=outcome.quantile_s(0.99) / ideal_s,
+                value=result.quantile_s(0.99) / ideal_s,
                 unit="x",
                 at_most=1.2 if has_bound else None,
             )
@@ -188,18 +187,18 @@
     p99_s = {}
     for policy in routing_base.ROUTING.names():
         zone = zone_fakes.FakeZone(size=size, policy=policy)
-        outcome = run(
+        result = run_virtual(
             zone.run,
             arrivals,
             deadline_s=DEADLINE_S,
             fault=slow_targets,
         )
-        p99_s[policy] = outcome.quantile_s(0.99)
-        yield from summarize(f"{prefix}/{policy}", size, outcome)
+        p99_s[policy] = result.quantile_s(0.99)
+        yield from summarize(f"{prefix}/{policy}", size, result)
     default_s = p99_s[routing_base.DEFAULT]
     ratios = {
         "p99-over-round-robin": p99_s["round-robin"],
-        "p99-over-strict-turns": strict_turns_p99_s(size, arrivals),
+        "p99-over-strict-turns": strict_round_robin_p99_s(size, arrivals),
     }
     for label, other_s in ratios.items():
         yield base.Measurement(
@@ -218,7 +217,7 @@
 def measure_skew(
     size: zone_fakes.ZoneSize,
 ) -> typing.Iterator[base.Measurement]:
-    """Yield measurements of a balancer that favours one entry host.
+    """Yield measurements with a balancer that favours one entry host.
 
     The zone is smaller, so that the load lasts for many updates of grants.
     """
@@ -235,10 +234,10 @@
             policy=routing_base.DEFAULT,
             is_rebalancing=is_rebalancing,
         )
-        outcome = run(zone.run, arrivals, deadline_s=DEADLINE_S)
+        result = run_virtual(zone.run, arrivals, deadline_s=DEADLINE_S)
         grants = "moving" if is_rebalancing else "fixed"
         name = f"requests/{size.team}/skewed-{BOUND_LOAD:.0%}/{grants}-split"
-        yield from summarize(name, size, outcome)
+        yield from summarize(name, size, result)
 
 
 def measure_overload(
@@ -247,25 +246,25 @@
     """Yield measurements at a load of twice the capacity."""
     arrivals = arrivals_at_load(size, OVERLOAD_FACTOR, count=OVERLOAD_ARRIVALS)
     zone = zone_fakes.FakeZone(size=size, policy=routing_base.DEFAULT)
-    outcome = run(zone.run, arrivals, deadline_s=OVERLOAD_DEADLINE_S)
-    capacity = size.capacity_per_s() * (outcome.last_s - outcome.warmed_up_s)
+    result = run_virtual(zone.run, arrivals, deadline_s=OVERLOAD_DEADLINE_S)
+    capacity = size.capacity_per_s() * (result.last_s - result.warmed_up_s)
     name = f"requests/{size.team}/overload-{OVERLOAD_FACTOR:.0%}"
     yield base.Measurement(
         name=f"{name}/goodput",
-        value=outcome.good / capacity,
+        value=result.good / capacity,
         unit="share",
         at_least=0.95,
     )
-    yield from summarize(name, size, outcome)
+    yield from summarize(name, size, result)
 
 
 def measure_cost() -> typing.Iterator[base.Measurement]:
     """Yield the CPU time and memory of a request."""
     for count in COST_TARGET_COUNTS:
         size = dataclasses.replace(SIZES[0], targets=count)
-        cost_s = run(
+        cost_s = run_virtual(
             request_costs.measure_decision_s,
-            _one_entry(size),
+            _make_single_entry_zone(size),
             count=COST_REQUESTS,
         )
         yield base.Measurement(
@@ -273,32 +272,34 @@
             value=1e6 * cost_s,
             unit="us",
         )
-    zone = _one_entry(SIZES[0])
-    cost_s = run(request_costs.measure_dispatch_s, zone, count=COST_REQUESTS)
+    zone = _make_single_entry_zone(SIZES[0])
+    cost_s = run_virtual(
+        request_costs.measure_dispatch_s, zone, count=COST_REQUESTS
+    )
     yield base.Measurement(
         name="requests/cost/dispatch", value=1e6 * cost_s, unit="us"
     )
-    zone = _one_entry(SIZES[0])
+    zone = _make_single_entry_zone(SIZES[0])
     yield base.Measurement(
         name="requests/cost/waiting",
-        value=run(
+        value=run_virtual(
             request_costs.measure_waiting_bytes, zone, count=WAITING_REQUESTS
         ),
         unit="bytes",
     )
 
 
-def _one_entry(size: zone_fakes.ZoneSize) -> zone_fakes.FakeZone:
+def _make_single_entry_zone(size: zone_fakes.ZoneSize) -> zone_fakes.FakeZone:
     return zone_fakes.FakeZone(
         size=size, policy=routing_base.DEFAULT, entries=1
     )
 
 
 @base.BENCHMARKS.register("requests")
-def bench() -> list[base.Measurement]:
+def bench_requests() -> list[base.Measurement]:
     """Measure admission, routing and release of requests."""
     registry.load_modules(routing)
-    measures = []
+    measurements = []
     for size in SIZES:
         for measure in (
             measure_loads,
@@ -306,6 +307,6 @@
             measure_skew,
             measure_overload,
         ):
-            measures.extend(measure(size))
-    measures.extend(measure_cost())
-    return measures
+            measurements.extend(measure(size))
+    measurements.extend(measure_cost())
+    return measurements
--- a/wisteriawood/bench/sites.py
+++ b/wisteriawood/bench/sites.py
@@ -122,7 +122,9 @@
 
 
 class TrueSlowdowns:
-    """True slowdowns of each pair of classes, unknown to the policies.
+    """True slowdowns of each pair of classes.
+
+    The policies have to learn them, except in runs with an oracle.
 
     Args:
         site: Site whose classes are paired.
@@ -148,7 +150,7 @@
         return self._harms[victim, aggressor]
 
     def observe(self, victim: str, neighbours, **measured) -> None:
-        """Do nothing, as the true slowdowns are known."""
+        """Do nothing: an oracle learns nothing from measurements."""
 
     def slowdown(
         self,
--- a/wisteriawood/bench/slots.py
+++ b/wisteriawood/bench/slots.py
@@ -1,4 +1,4 @@
-"""Measures the bytes and CPU time of slot contracts."""
+"""Measures the bytes and CPU time of a link that grants slots."""
 
 import time
 
@@ -70,7 +70,7 @@
     return rack
 
 
-async def _make_pair(
+async def _make_grantor_and_client(
     size: int,
 ) -> tuple[grantors.Grantor, slot_clients.SlotClient]:
     platform = platforms.MemoryPlatform()
@@ -124,7 +124,7 @@
 
 
 async def _measure(size: int) -> list[base.Measurement]:
-    grantor, client = await _make_pair(size)
+    grantor, client = await _make_grantor_and_client(size)
     member = _member("e", holdings.Role.ENTRY)
     holder = grantor.open(member)
     session = slot_clients.GrantorSession(
@@ -134,6 +134,7 @@
         _exchange(grantor, client, session, holder, sequence)
         for sequence in range(1, ROUNDS + 4)
     ]
+    # The grants are sent in the first three rounds; later rounds are idle.
     first_bytes = sum(size_bytes for _e, _g, size_bytes in rounds[:3])
     idle_rounds = rounds[3:]
     entry_us = (
@@ -141,7 +142,11 @@
         * sum(entry_s for entry_s, _g, _b in idle_rounds)
         / len(idle_rounds)
     )
-    grantor_us = 1e6 * sum(s for _e, s, _b in idle_rounds) / len(idle_rounds)
+    grantor_us = (
+        1e6
+        * sum(grantor_s for _e, grantor_s, _b in idle_rounds)
+        / len(idle_rounds)
+    )
     idle_bytes = sum(size_bytes for _e, _g, size_bytes in idle_rounds) / len(
         idle_rounds
     )
@@ -172,10 +177,10 @@
 
 
 @base.BENCHMARKS.register("slots")
-def run() -> list[base.Measurement]:
+def bench_slots() -> list[base.Measurement]:
     """Measure one link between an entry host and a grantor."""
     return [
-        measure
+        measurement
         for size in TARGET_COUNTS
-        for measure in anyio.run(_measure, size)
+        for measurement in anyio.run(_measure, size)
     ]
--- a/wisteriawood/bench/tasks.py
+++ b/wisteriawood/bench/tasks.py
@@ -23,7 +23,7 @@
 from wisteriawood.standins import processes
 from wisteriawood.standins import worlds
 
-SECONDS = 400
+SIMULATED_SECONDS = 400
 SEEDS = (1, 2)
 SITES = (sites.KROUPA, sites.VITRINENKLIMA)
 WORKER_COUNTS = (25, 250, 2_500, 20_000)
@@ -41,7 +41,7 @@
     simulation = colocations.ColocationSimulation(
         site=site, seed=seed, **policies
     )
-    return simulation.run(seconds=SECONDS)
+    return simulation.run(seconds=SIMULATED_SECONDS)
 
 
 def _measure_site(site: sites.Site) -> list[base.Measurement]:
@@ -54,52 +54,58 @@
     least_harm = _run_seeds()
     least_loaded = _run_seeds(placement="least-loaded")
     first_fit = _run_seeds(seeds=SEEDS[:1], placement="first-fit")
-    measure = functools.partial(_measure, site)
+    make_measurement = functools.partial(_make_measurement, site)
     ratios = [
         actual.finished_core_s / ideal.finished_core_s
         for actual, ideal in zip(least_harm, oracle, strict=True)
     ]
     evictions = sum(result.evictions for result in least_harm)
-    baseline = sum(result.evictions for result in least_loaded)
-    measures = [
-        measure(
+    baseline_evictions = sum(result.evictions for result in least_loaded)
+    measurements = [
+        make_measurement(
             "service-p99-slowdown", _max_p99(least_harm), "times", at_most=1.1
         ),
-        measure("batch-of-oracle", min(ratios), "of it", at_least=0.9),
-        measure(
+        make_measurement(
+            "batch-of-oracle", min(ratios), "of it", at_least=0.9
+        ),
+        make_measurement(
             "evictions-of-least-loaded",
-            evictions / max(1, baseline),
+            evictions / max(1, baseline_evictions),
             "of them",
             at_most=0.5,
         ),
-        measure(
+        make_measurement(
             "memory-counted",
             _max_allocated_share(least_harm),
             "of all",
             at_most=1.0,
         ),
-        measure("memory-overruns", _sum("overruns", least_harm), "jobs"),
+        make_measurement(
+            "memory-overruns", _sum("overruns", least_harm), "jobs"
+        ),
     ]
-    for name, found in (
+    for name, results in (
         ("oracle", oracle),
         ("least-harm", least_harm),
         ("least-loaded", least_loaded),
         ("first-fit", first_fit),
     ):
-        run_count = len(found)
-        work = _sum("finished_core_s", found) / 3600 / run_count
-        lost = _sum("lost_core_s", found) / 3600 / run_count
-        evicted = _sum("evictions", found) / run_count
-        measures += [
-            measure(f"{name}/p99-slowdown", _max_p99(found), "times"),
-            measure(f"{name}/batch-finished", work, "core-h/run"),
-            measure(f"{name}/evictions", evicted, "jobs/run"),
-            measure(f"{name}/work-lost", lost, "core-h/run"),
+        run_count = len(results)
+        work = _sum("finished_core_s", results) / 3600 / run_count
+        lost = _sum("lost_core_s", results) / 3600 / run_count
+        evicted = _sum("evictions", results) / run_count
+        measurements += [
+            make_measurement(
+                f"{name}/p99-slowdown", _max_p99(results), "times"
+            ),
+            make_measurement(f"{name}/batch-finished", work, "core-h/run"),
+            make_measurement(f"{name}/evictions", evicted, "jobs/run"),
+            make_measurement(f"{name}/work-lost", lost, "core-h/run"),
         ]
-    return measures
+    return measurements
 
 
-def _measure(
+def _make_measurement(
     site: sites.Site, name: str, value: float, unit: str, **bounds
 ) -> base.Measurement:
     name = f"tasks/{site.team}/{name}"
@@ -134,7 +140,7 @@
 
 
 def _make_workers(count: int, rng: random.Random) -> list[workers.Worker]:
-    found = []
+    new_workers = []
     for number in range(count):
         worker = workers.Worker(
             name=f"worker-{number}",
@@ -144,8 +150,8 @@
             link=None,
         )
         worker.is_connected = True
-        for place in range(TASKS_PER_WORKER):
-            spec = _spec(number * TASKS_PER_WORKER + place, rng)
+        for index in range(TASKS_PER_WORKER):
+            spec = _spec(number * TASKS_PER_WORKER + index, rng)
             worker.add(
                 workers.Placement(
                     task=tasks.Task(spec=spec, zone="zone"),
@@ -154,8 +160,8 @@
                     is_committed=True,
                 )
             )
-        found.append(worker)
-    return found
+        new_workers.append(worker)
+    return new_workers
 
 
 def _time_decisions(count: int) -> list[float]:
@@ -180,21 +186,21 @@
 
 def _measure_decisions() -> list[base.Measurement]:
     medians_us = {}
-    measures = []
+    measurements = []
     for count in WORKER_COUNTS:
         durations_s = _time_decisions(count)
         medians_us[count] = durations_s[len(durations_s) // 2] * 1e6
         p99_us = durations_s[int(0.99 * len(durations_s))] * 1e6
         rate = len(durations_s) / sum(durations_s)
         prefix = f"tasks/decisions/{count}-workers"
-        measures += [
+        measurements += [
             base.Measurement(name=f"{prefix}/rate", value=rate, unit="1/s"),
             base.Measurement(
                 name=f"{prefix}/p99", value=p99_us, unit="us", at_most=20_000
             ),
         ]
     ratio = medians_us[WORKER_COUNTS[-1]] / medians_us[WORKER_COUNTS[0]]
-    measures.append(
+    measurements.append(
         base.Measurement(
             name="tasks/decisions/20000-against-25",
             value=ratio,
@@ -202,17 +208,17 @@
             at_most=4.0,
         )
     )
-    return measures
+    return measurements
 
 
 def _measure_memory(count: int = 2_500) -> list[base.Measurement]:
     rng = random.Random(1)
     tracemalloc.start()
-    found = _make_workers(count, rng)
-    bare_bytes = tracemalloc.get_traced_memory()[0]
+    new_workers = _make_workers(count, rng)
+    workers_bytes = tracemalloc.get_traced_memory()[0]
     allocator = allocators.Allocator(rng=rng)
     empty_bytes = tracemalloc.get_traced_memory()[0]
-    allocator.refresh(found, now_s=0.0)
+    allocator.refresh(new_workers, now_s=0.0)
     full_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return [
@@ -224,7 +230,7 @@
         ),
         base.Measurement(
             name="tasks/memory/placement-per-task",
-            value=bare_bytes / (count * TASKS_PER_WORKER),
+            value=workers_bytes / (count * TASKS_PER_WORKER),
             unit="bytes",
             at_most=4_096,
         ),
@@ -238,7 +244,7 @@
     """
     async with anyio.create_task_group() as group:
         world = worlds.World(group=group, seed=1)
-        found = _add_zone(world)
+        standin_workers = _add_zone(world)
         rng = random.Random(1)
         needs = resources.Resources(cores=15.0, memory_bytes=20 * GIB)
         batch_specs = [
@@ -257,7 +263,7 @@
             await anyio.sleep(4.0)
             started_s = [
                 record.started_s
-                for worker in found
+                for worker in standin_workers
                 for record in worker.records
                 if record.task == spec.id
             ]
@@ -267,7 +273,7 @@
 
 
 def _add_zone(world: worlds.World) -> list:
-    found = []
+    standin_workers = []
     for number in range(4):
         name = f"worker-{number}"
         host = platforms.Host(
@@ -277,8 +283,8 @@
             address=f"{name}:1",
             capacity=colocations.CAPACITY,
         )
-        found.append(world.add_worker(host))
-        # Each message is delayed as between the users' zones.
+        standin_workers.append(world.add_worker(host))
+        # Each direction has the delay between the users' zones.
         world.delays_s["scheduler/linz-a-1", host.address] = 0.003
         world.delays_s[host.address, "scheduler/linz-a-1"] = 0.003
     world.delays_s["scheduler/linz-a-1", processes.PLATFORM] = 0.003
@@ -293,7 +299,7 @@
             peer_address="scheduler-1:1",
         )
     )
-    return found
+    return standin_workers
 
 
 def _measure_urgent() -> list[base.Measurement]:
@@ -313,21 +319,21 @@
     ]
 
 
-def _write_slopes(measures: list[base.Measurement]) -> None:
+def _write_slopes(measurements: list[base.Measurement]) -> None:
     slopes = [
         {
-            "name": measure.name,
-            "value": float(f"{measure.value:.4g}"),
-            "unit": measure.unit,
+            "name": measurement.name,
+            "value": float(f"{measurement.value:.4g}"),
+            "unit": measurement.unit,
             "per": (
-                measure.name.rsplit("-per-", 1)[-1]
-                if "-per-" in measure.name
+                measurement.name.rsplit("-per-", 1)[-1]
+                if "-per-" in measurement.name
                 else "decision"
             ),
             "command": COMMAND,
         }
-        for measure in measures
-        if measure.name.startswith(("tasks/decisions", "tasks/memory"))
+        for measurement in measurements
+        if measurement.name.startswith(("tasks/decisions", "tasks/memory"))
     ]
     SLOPES_PATH.write_text(
         json.dumps(slopes, indent=2) + "\n", encoding="utf-8"
@@ -335,13 +341,13 @@
 
 
 @base.BENCHMARKS.register("tasks")
-def run() -> list[base.Measurement]:
+def bench_tasks() -> list[base.Measurement]:
     """Measure placement at the teams' sizes and up to 20,000 workers."""
-    measures = []
+    measurements = []
     for site in SITES:
-        measures += _measure_site(site)
-    measures += _measure_urgent()
-    measures += _measure_decisions()
-    measures += _measure_memory()
-    _write_slopes(measures)
-    return measures
+        measurements += _measure_site(site)
+    measurements += _measure_urgent()
+    measurements += _measure_decisions()
+    measurements += _measure_memory()
+    _write_slopes(measurements)
+    return measurements
--- a/wisteriawood/bench/zone_fakes.py
+++ b/wisteriawood/bench/zone_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes for benchmarks of the request path: targets and callers."""
+"""Fakes for benchmarks of the request path: targets, a zone and callers."""
 
 import contextlib
 import dataclasses
@@ -23,7 +23,7 @@
 WARMUP_SHARE = 0.25
 # Relative accuracy of the quantiles.
 SKETCH_ACCURACY = 0.005
-MEAN_SERVICE_S = 0.02
+MEAN_SERVICE_TIME_S = 0.02
 # Sigma of the lognormal distribution of service times.
 SERVICE_TIME_SIGMA = 1.0
 
@@ -46,7 +46,7 @@
 
     def capacity_per_s(self) -> float:
         """Return the requests per second that all slots can serve."""
-        slot_time_s = MEAN_SERVICE_S + 2 * self.delay_s
+        slot_time_s = MEAN_SERVICE_TIME_S + 2 * self.delay_s
         return self.targets * self.slots / slot_time_s
 
 
@@ -66,8 +66,8 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Outcome:
-    """Outcome of a run, as its callers observed it.
+class RunResult:
+    """Result of a run, as its callers observed it.
 
     Attributes:
         sketch: Latencies of the answers in seconds.
@@ -126,7 +126,7 @@
         arrivals.append(
             Arrival(
                 at_s=at_s,
-                service_time_s=MEAN_SERVICE_S * factor,
+                service_time_s=MEAN_SERVICE_TIME_S * factor,
                 entry=rng.choices(hosts, entry_weights)[0],
             )
         )
@@ -138,14 +138,14 @@
 
     Args:
         delay_s: One-way delay of the link.
-        outcome: Outcome to which the busy time is added.
+        result: Result to which the busy time is added.
     """
 
-    __slots__ = ("_delay_s", "_outcome", "is_frozen", "slowdown")
+    __slots__ = ("_delay_s", "_result", "is_frozen", "slowdown")
 
-    def __init__(self, *, delay_s: float, outcome: Outcome):
+    def __init__(self, *, delay_s: float, result: RunResult):
         self._delay_s = delay_s
-        self._outcome = outcome
+        self._result = result
         self.slowdown = 1.0
         self.is_frozen = False
 
@@ -157,7 +157,7 @@
             await anyio.sleep(timeout_s)
             raise errors.RequestUnknownError(reason="no answer in time")
         busy_s = float(request.path) * self.slowdown
-        self._outcome.busy_s += busy_s
+        self._result.busy_s += busy_s
         latency_s = busy_s + 2 * self._delay_s
         await anyio.sleep(min(latency_s, timeout_s))
         if latency_s > timeout_s:
@@ -196,7 +196,7 @@
         "_is_rebalancing",
         "_size",
         "fake_targets",
-        "outcome",
+        "result",
         "services",
         "shares",
     )
@@ -211,12 +211,12 @@
         seed: int = 1,
     ):
         rng = random.Random(seed)
-        self.outcome = Outcome()
+        self.result = RunResult()
         self._size = size
         self._is_rebalancing = is_rebalancing
         self.fake_targets = {
             f"target-{number:03d}": FakeTarget(
-                delay_s=size.delay_s, outcome=self.outcome
+                delay_s=size.delay_s, result=self.result
             )
             for number in range(size.targets)
         }
@@ -290,8 +290,8 @@
 
     async def run(
         self, arrivals: list[Arrival], *, deadline_s: float, fault=None
-    ) -> Outcome:
-        """Send a request at each arrival and return the outcome.
+    ) -> RunResult:
+        """Send a request at each arrival and return the result.
 
         Args:
             arrivals: Arriving requests.
@@ -301,8 +301,8 @@
         """
         start_s = anyio.current_time()
         self.grant({str(h): 1.0 for h in range(len(self.services))})
-        self.outcome.last_s = start_s + arrivals[-1].at_s
-        self.outcome.warmed_up_s = start_s + WARMUP_SHARE * arrivals[-1].at_s
+        self.result.last_s = start_s + arrivals[-1].at_s
+        self.result.warmed_up_s = start_s + WARMUP_SHARE * arrivals[-1].at_s
         async with anyio.create_task_group() as background:
             background.start_soon(self._run_ticks)
             if self._is_rebalancing:
@@ -317,7 +317,7 @@
                         self._call, number, arrival, due_s + deadline_s
                     )
             background.cancel_scope.cancel()
-        return self.outcome
+        return self.result
 
     async def _call(
         self, number: int, arrival: Arrival, deadline_s: float
@@ -333,17 +333,17 @@
         try:
             await self._dispatchers[arrival.entry].dispatch(request)
         except errors.RequestNotRunError:
-            self.outcome.shed += 1
+            self.result.shed += 1
             return
         except errors.RequestUnknownError:
-            self.outcome.unknown += 1
+            self.result.unknown += 1
             return
         now_s = anyio.current_time()
-        self.outcome.answered += 1
-        self.outcome.good += (
-            self.outcome.warmed_up_s < now_s <= self.outcome.last_s
+        self.result.answered += 1
+        self.result.good += (
+            self.result.warmed_up_s < now_s <= self.result.last_s
         )
-        self.outcome.sketch.add(now_s - started_s)
+        self.result.sketch.add(now_s - started_s)
 
     async def _run_ticks(self) -> None:
         while True:
--- a/wisteriawood/tests/__main__.py
+++ b/wisteriawood/tests/__main__.py
@@ -11,7 +11,7 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 PACKAGE = ROOT / "wisteriawood"
-KNOWN_RED = ROOT / "KNOWN-RED.txt"
+KNOWN_RED_PATH = ROOT / "KNOWN-RED.txt"
 MAX_CONCURRENT_MODULES = 4
 # A fixed hash seed makes the order of sets of strings repeatable.
 ENVIRONMENT = os.environ | {"PYTHONHASHSEED": "1"}
@@ -34,10 +34,11 @@
             self.failed.append(name)
 
 
-def _known_red():
-    if not KNOWN_RED.exists():
+def _read_known_red():
+    """Return the ids of the tests that are known to fail."""
+    if not KNOWN_RED_PATH.exists():
         return set()
-    lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
+    lines = KNOWN_RED_PATH.read_text(encoding="utf-8").splitlines()
     return {
         line.split()[1]
         for line in lines
@@ -80,7 +81,7 @@
     results.failed.extend(result["failed"])
 
 
-def _modules():
+def _find_modules():
     paths = sorted((PACKAGE / "tests").rglob("*_tests.py"))
     # The modules in faults/ are slow, so they start first.
     paths.sort(key=lambda path: "faults" not in path.parts)
@@ -95,7 +96,7 @@
     await _check(results, "flake8", str(PACKAGE))
     limiter = anyio.CapacityLimiter(MAX_CONCURRENT_MODULES)
     async with anyio.create_task_group() as group:
-        for name in _modules():
+        for name in _find_modules():
             group.start_soon(_run_module, results, limiter, name)
 
 
@@ -103,7 +104,7 @@
     """Run the checks and return the exit status."""
     results = Results()
     anyio.run(functools.partial(_run_all, results))
-    known = _known_red()
+    known = _read_known_red()
     unexpected = [name for name in results.failed if name not in known]
     for name in sorted(results.failed):
         print(f"{'known red' if name in known else 'FAILED'}: {name}")
--- a/wisteriawood/tests/bench_tests.py
+++ b/wisteriawood/tests/bench_tests.py
@@ -14,11 +14,13 @@
 class BenchTests(unittest.TestCase):
 
     def test_urgent_work_starts_within_its_bound(self):
-        (measure,) = tasks._measure_urgent()
-        self.assertTrue(measure.is_within_bounds(), f"{measure.value} s")
+        (measurement,) = tasks._measure_urgent()
+        self.assertTrue(
+            measurement.is_within_bounds(), f"{measurement.value} s"
+        )
 
     def test_grantor_and_entry_host_can_be_measured(self):
-        _grantor, client = anyio.run(slots._make_pair, 2)
+        _grantor, client = anyio.run(slots._make_grantor_and_client, 2)
         self.assertEqual({}, client.targets)
 
     def test_each_benchmark_is_registered(self):
--- a/wisteriawood/tests/builders.py
+++ b/wisteriawood/tests/builders.py
@@ -156,7 +156,12 @@
 
 
 def make_configuration(*, deadline_ms=500, **fields):
-    """Return a configuration document with both teams."""
+    """Return a configuration document of the teams kroupa and vitrinenklima.
+
+    Args:
+        deadline_ms: Deadline of the service shop of kroupa.
+        fields: Further fields of that service.
+    """
     shop = {"deadline_ms": deadline_ms, "request_class": "repeatable"}
     shop.update(fields)
     return {
@@ -292,10 +297,10 @@
     ]
 
 
-def make_allocator(found=(), *, seed=1, **fields):
+def make_allocator(placeable_workers=(), *, seed=1, **fields):
     """Return an allocator with some workers in its index."""
     allocator = allocators.Allocator(rng=random.Random(seed), **fields)
-    allocator.refresh(found, now_s=0.0)
+    allocator.refresh(placeable_workers, now_s=0.0)
     return allocator
 
 
@@ -379,8 +384,8 @@
     return cell
 
 
-def make_job(job_id="j", *, queue=None, occurrences=True, **fields):
-    """Return a job of one step, with its tasks."""
+def make_job(job_id="j", *, queue=None, opens_occurrences=True, **fields):
+    """Return a job of one step; its tasks are made with its occurrences."""
     values = {"task_count": 1, "cpu_millicores": 4000, "memory_mb": 8}
     step = specs.StepSpec(**(values | fields))
     spec = specs.JobSpec(
@@ -389,7 +394,7 @@
         steps=[step],
     )
     job = jobs.Job(spec=spec, cell="shop@a", bucket="a")
-    if occurrences:
+    if opens_occurrences:
         job.open_due_occurrences(0)
     return job
 
@@ -418,8 +423,10 @@
 
 def set_weights(model, serving, weights):
     """Import the interference weights of fillers on a serving image."""
-    told = {f"{serving}|{filler}": [w, 0.01] for filler, w in weights.items()}
-    model.import_pairs("teacher", told)
+    shared = {
+        f"{serving}|{filler}": [w, 0.01] for filler, w in weights.items()
+    }
+    model.import_pairs("teacher", shared)
 
 
 def latency_ratio_at(load):
--- a/wisteriawood/tests/invariants.py
+++ b/wisteriawood/tests/invariants.py
@@ -1,11 +1,13 @@
-"""Checks of invariants, by the attempts that stand-in workers recorded."""
+"""Checks invariants against the attempts recorded by stand-in workers."""
+
+import math
 
 from wisteriawood.contracts import keys
 from wisteriawood.contracts import resources
 from wisteriawood.contracts import tasks
 from wisteriawood.links.codecs import rows
 
-NEVER_S = float("inf")
+NEVER_S = math.inf
 
 
 def _records(world):
@@ -61,9 +63,9 @@
 
 
 def find_wrong_resumes(world):
-    """Return attempts that did not resume from the latest checkpoint.
+    """Return attempts that ignored the checkpoint of the previous attempt.
 
-    Only attempts after one that a command stopped are checked.
+    An attempt is checked only if a command stopped the previous one.
     """
     found = []
     by_task = {}
@@ -72,11 +74,11 @@
     for task_id, records in by_task.items():
         records.sort(key=lambda record: record.attempt)
         for before, after in zip(records, records[1:]):
-            wanted = f"checkpoint/{task_id}/{before.attempt}"
-            if before.is_told and after.resumed_from != wanted:
+            expected = f"checkpoint/{task_id}/{before.attempt}"
+            if before.is_told and after.resumed_from != expected:
                 found.append(
                     f"{task_id}: attempt {after.attempt} resumed from "
-                    f"{after.resumed_from!r}, not from {wanted!r}"
+                    f"{after.resumed_from!r}, not from {expected!r}"
                 )
     return found
 
@@ -114,7 +116,8 @@
                 continue
             if not record.end:
                 found.append(f"{task_id} still runs on {worker.name}")
-            # A start command sent before the cancellation may arrive later.
+            # A start command sent before the cancellation may arrive up to
+            # 10 s after it.
             if record.started_s > time_s + 10.0:
                 found.append(f"{task_id} began at {record.started_s:.1f}")
     return found
@@ -139,7 +142,7 @@
     found = []
     for task_id in task_ids:
         row = world.platform.table.get(keys.ended(task_id))
-        last = row.value["attempt"] if row else NEVER_S
+        last = row.value["attempt"] if row else math.inf
         for worker, record in _records(world):
             if record.task == task_id and record.attempt > last:
                 found.append(f"{task_id}: attempt {record.attempt}")
