--- a/wisteriawood/tests/builders.py
+++ b/wisteriawood/tests/builders.py
@@ -159,7 +159,7 @@
     """Return a configuration document of the teams kroupa and vitrinenklima.
 
     Args:
-        deadline_ms: Deadline of the service shop of kroupa.
+        deadline_ms: Deadline of kroupa's service "shop" in ms.
         fields: Further fields of that service.
     """
     shop = {"deadline_ms": deadline_ms, "request_class": "repeatable"}
@@ -385,7 +385,7 @@
 
 
 def make_job(job_id="j", *, queue=None, opens_occurrences=True, **fields):
-    """Return a job of one step; its tasks are made with its occurrences."""
+    """Return a job of one step, whose tasks its first occurrence creates."""
     values = {"task_count": 1, "cpu_millicores": 4000, "memory_mb": 8}
     step = specs.StepSpec(**(values | fields))
     spec = specs.JobSpec(
