--- a/wisteriawood/tests/builders.py
+++ b/wisteriawood/tests/builders.py
@@ -418,8 +418,8 @@
 
 def set_weights(model, serving, weights):
     """Import the interference weights of fillers on a serving image."""
-    told = {f"{serving}|{filler}": [w, 0.01] for filler, w in weights.items()}
-    model.import_pairs("teacher", told)
+    pairs = {f"{serving}|{filler}": [w, 0.01] for filler, w in weights.items()}
+    model.import_pairs("other-cell", pairs)
 
 
 def latency_ratio_at(load):
--- a/wisteriawood/tests/faults/__init__.py
+++ b/wisteriawood/tests/faults/__init__.py
@@ -1,1 +1,1 @@
-"""The fault matrix: each fault at each step."""
+"""The fault matrix: each fault is injected at each step."""
--- a/wisteriawood/tests/faults/__main__.py
+++ b/wisteriawood/tests/faults/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the fault matrix alone and prints each cell."""
+"""Runs the complete fault matrix and prints each result."""
 
 import os
 import pathlib
--- a/wisteriawood/tests/faults/proofs_tests.py
+++ b/wisteriawood/tests/faults/proofs_tests.py
@@ -27,7 +27,7 @@
 
 
 def run(fault, step, *, patch=None, run_s=60.0):
-    """Run a cell of the fault matrix and return the breaches found.
+    """Run a scenario of the fault matrix and return the breaches found.
 
     Args:
         fault: Name of the fault.
@@ -39,7 +39,7 @@
 
     async def _check(world):
         found.extend(
-            await tasks_tests.run_cell(world, fault, step, run_s=run_s)
+            await tasks_tests.run_scenario(world, fault, step, run_s=run_s)
         )
 
     with patch or contextlib.nullcontext():
--- a/wisteriawood/tests/faults/recovery_tests.py
+++ b/wisteriawood/tests/faults/recovery_tests.py
@@ -1,4 +1,4 @@
-"""How soon slots are usable again after a death, and that none is twice."""
+"""Checks how soon slots recover from a fault and that none is used twice."""
 
 import unittest
 
@@ -17,15 +17,17 @@
 NAMES = ("linz-a-1", "linz-a-2")
 TARGETS = 4
 SLOTS = 8 * TARGETS
-# The longest deadline of builders.make_configuration.
-ANNOUNCED_S = 2.0
+# The longest deadline in builders.make_configuration, which entry hosts
+# announce.
+ANNOUNCED_REQUEST_S = 2.0
 TAKEOVER_S = 10.0
-# Below the term, after which a rack is claimed without proof of death.
+# Shorter than the term, after which a rack is claimed without proof that its
+# holder has ended.
 EARLY_CLAIM_S = 5.0
 
 
 async def build(world, *, service_s=0.01):
-    """Fill a world: two entry hosts, two schedulers, two racks of targets."""
+    """Start two entry hosts, two schedulers and two racks of targets."""
     await configurations.apply(
         world.platform, builders.make_configuration(), base=0
     )
@@ -43,7 +45,7 @@
 
 
 def usable_slots(world, names):
-    """Return the slots that entry hosts may fill now."""
+    """Return the number of slots that entry hosts may use now."""
     now_s = anyio.current_time()
     return sum(
         target.grant.slots
@@ -53,30 +55,30 @@
     )
 
 
-async def measure(world, names, *, longest_s=120.0):
-    """Return the seconds until entry hosts may fill all slots again."""
+async def measure_recovery(world, names, *, timeout_s=120.0):
+    """Return the seconds until entry hosts may use all slots again."""
     began_s = anyio.current_time()
-    with anyio.fail_after(longest_s):
+    with anyio.fail_after(timeout_s):
         while usable_slots(world, names) < SLOTS:
             await anyio.sleep(0.05)
     return anyio.current_time() - began_s
 
 
 def holder_process(world):
-    """Return the process of the scheduler that holds the most racks."""
+    """Return the process and name of the scheduler with the most racks."""
     name = max(NAMES, key=lambda n: len(world.schedulers[n].racks))
     return world.processes[f"scheduler/{name}"], name
 
 
-def vanish(world, name):
-    """Cut a process off without its machine refusing connections."""
+def isolate(world, name):
+    """Cut all links of a process; connections to it are not refused."""
     for other in [processes.PLATFORM, *world.processes]:
         if other != name:
             world.cut(name, other)
 
 
-async def fill(world, name, *, count, deadline_s):
-    """Send requests through one entry host, whatever comes of them."""
+async def send_requests(world, name, *, count, deadline_s):
+    """Send requests through one entry host and ignore their outcomes."""
 
     async def _send(number):
         request = builders.make_request(
@@ -92,8 +94,8 @@
         world.start_soon(_send, number)
 
 
-def breaches(world):
-    """Return how often a target had more than its slots."""
+def count_breaches(world):
+    """Return the number of requests that exceeded the slots of a target."""
     return sum(target.counts.breaches for target in world.targets.values())
 
 
@@ -104,16 +106,17 @@
             await build(world, **fields)
             self.assertEqual(SLOTS, usable_slots(world, NAMES))
             await function(world)
-            self.assertEqual(0, breaches(world))
+            self.assertEqual(0, count_breaches(world))
 
         builders.run_world(_check)
 
     def test_slots_of_killed_entry_host(self):
         async def _check(world):
             world.processes["entry/linz-a-1"].kill()
-            # Silence is noticed and the row read within 2 s.
+            # Within 2 s the failure is detected and the member row read.
             self.assertLess(
-                await measure(world, NAMES[1:]), 2.0 + ANNOUNCED_S + 2.0
+                await measure_recovery(world, NAMES[1:]),
+                2.0 + ANNOUNCED_REQUEST_S + 2.0,
             )
 
         self.run_world(_check)
@@ -125,22 +128,23 @@
             scheduler.kill()
             alive = [n for n in NAMES if n != name]
             self.assertLess(
-                await measure(world, alive), TAKEOVER_S + ANNOUNCED_S + 2.0
+                await measure_recovery(world, alive),
+                TAKEOVER_S + ANNOUNCED_REQUEST_S + 2.0,
             )
 
         self.run_world(_check)
 
-    def test_slots_of_vanished_entry_host(self):
+    def test_slots_of_isolated_entry_host(self):
         async def _check(world):
-            vanish(world, "entry/linz-a-1")
+            isolate(world, "entry/linz-a-1")
             self.assertLess(
-                await measure(world, NAMES[1:]),
-                terms.SLOT_TERM_S + ANNOUNCED_S + 2.0,
+                await measure_recovery(world, NAMES[1:]),
+                terms.SLOT_TERM_S + ANNOUNCED_REQUEST_S + 2.0,
             )
 
         self.run_world(_check)
 
-    def test_restarted_schedulers_get_their_racks_back(self):
+    def test_restarted_schedulers_reclaim_their_racks(self):
         async def _check(world):
             for name in NAMES:
                 world.processes[f"scheduler/{name}"].kill()
@@ -155,7 +159,7 @@
 
         self.run_world(_check)
 
-    def test_service_lives_on_if_platform_fails_soon_after_its_holder(self):
+    def test_service_survives_platform_outage_soon_after_holder_dies(self):
         async def _check(world):
             worker = world.add_worker(builders.make_worker_host())
             spec = builders.make_spec(kind=tasks.TaskKind.SERVICE)
@@ -175,7 +179,7 @@
 
         self.run_world(_check)
 
-    def test_dead_schedulers_racks_are_claimed_before_its_term_ends(self):
+    def test_racks_of_dead_scheduler_are_claimed_before_its_term_ends(self):
         async def _check(world):
             scheduler, name = holder_process(world)
             scheduler.kill()
@@ -186,44 +190,46 @@
 
         self.run_world(_check)
 
-    def test_silent_schedulers_racks_are_not_claimed_early(self):
+    def test_racks_of_isolated_scheduler_are_not_claimed_early(self):
         async def _check(world):
             scheduler, name = holder_process(world)
             held = set(world.schedulers[name].racks)
-            vanish(world, scheduler.name)
+            isolate(world, scheduler.name)
             await anyio.sleep(EARLY_CLAIM_S)
             alive = world.schedulers[NAMES[1 - NAMES.index(name)]]
             self.assertEqual(set(), held & set(alive.racks))
 
         self.run_world(_check)
 
-    def test_silence_is_no_proof_of_death(self):
+    def test_slots_of_unreachable_entry_host_are_not_granted_twice(self):
         async def _check(world):
-            # It goes on, and its targets' link is whole.
+            # The entry host keeps running and reaches its targets.
             for name in NAMES:
                 world.cut(f"scheduler/{name}", "entry/linz-a-1")
-            for _round in range(24):
+            for _pass in range(24):
                 for name in NAMES:
-                    await fill(world, name, count=60, deadline_s=2.0)
+                    await send_requests(world, name, count=60, deadline_s=2.0)
                 await anyio.sleep(0.5)
 
         self.run_world(_check, service_s=0.2)
 
-    def test_longer_request_is_announced_before_it_leaves(self):
+    def test_longer_request_is_announced_before_it_is_sent(self):
         async def _check(world):
             await anyio.sleep(130)
             own = world.entries["linz-a-1"].membership.own
-            self.assertEqual(ANNOUNCED_S, own.longest_s)
-            await fill(world, "linz-a-1", count=40, deadline_s=20.0)
+            self.assertEqual(ANNOUNCED_REQUEST_S, own.longest_s)
+            await send_requests(world, "linz-a-1", count=40, deadline_s=20.0)
             await anyio.sleep(0.5)
             world.processes["entry/linz-a-1"].kill()
-            for _round in range(40):
-                await fill(world, "linz-a-2", count=40, deadline_s=20.0)
+            for _pass in range(40):
+                await send_requests(
+                    world, "linz-a-2", count=40, deadline_s=20.0
+                )
                 await anyio.sleep(0.5)
 
         self.run_world(_check, service_s=18.0)
 
-    def test_request_is_cut_to_what_is_announced_in_an_outage(self):
+    def test_request_is_limited_to_announced_time_in_an_outage(self):
         async def _check(world):
             world.cut("entry/linz-a-1", "platform")
             await anyio.sleep(5)
@@ -233,11 +239,11 @@
             )
             answer = await entry.serve(request)
             self.assertEqual("ran", answer.outcome)
-            self.assertEqual(ANNOUNCED_S, entry.membership.announced_s)
+            self.assertEqual(ANNOUNCED_REQUEST_S, entry.membership.announced_s)
 
         self.run_world(_check)
 
-    def test_restarted_entry_host_gets_its_slots_back(self):
+    def test_restarted_entry_host_is_granted_slots_again(self):
         async def _check(world):
             world.processes["entry/linz-a-1"].kill()
             await anyio.sleep(0.5)
@@ -248,7 +254,8 @@
             )
             world.add_entry(member)
             self.assertLess(
-                await measure(world, NAMES), 2.0 + ANNOUNCED_S + 2.0
+                await measure_recovery(world, NAMES),
+                2.0 + ANNOUNCED_REQUEST_S + 2.0,
             )
             self.assertGreater(usable_slots(world, NAMES[:1]), 0)
 
--- a/wisteriawood/tests/faults/request_invariants.py
+++ b/wisteriawood/tests/faults/request_invariants.py
@@ -1,21 +1,22 @@
-"""Invariants of requests, from what targets and callers saw alone."""
+"""Checks of request invariants, by the records of targets and callers."""
 
 from wisteriawood.contracts import requests
 
-LEAVING_S = 3.0
+LEAVING_GRACE_S = 3.0
 
 
-def slots_kept(world):
-    """No target is ever given more than its slots."""
+def find_slot_breaches(world):
+    """Return targets that received more requests than they have slots."""
     return [
-        f"{target.name} found {target.counts.breaches} requests over its slots"
+        f"{target.name} received {target.counts.breaches} requests "
+        "beyond its slots"
         for target in world.targets.values()
         if target.counts.breaches
     ]
 
 
-def own_answers(world):
-    """Each caller gets the whole answer to its own request."""
+def find_wrong_answers(world):
+    """Return callers whose answer was incomplete or not their own."""
     return [
         f"{reply.request_id} got {reply.body!r}"
         for reply in world.replies
@@ -24,19 +25,19 @@
     ]
 
 
-def not_run_is_true(world):
-    """What was said not to be run was not run."""
+def find_false_not_run(world):
+    """Return requests that ran although they were reported as not run."""
     ran = {run.request_id for target in _targets(world) for run in target.runs}
     return [
-        f"{reply.request_id} ran, though the caller was told not-run"
+        f"{reply.request_id} ran, though the caller received not-run"
         for reply in world.replies
         if reply.outcome == requests.Outcome.NOT_RUN
         and reply.request_id in ran
     ]
 
 
-def once_at_most(world):
-    """A run-once request runs at most once."""
+def find_repeated_runs(world):
+    """Return run-once requests that ran more than once."""
     runs = {}
     for target in _targets(world):
         for run in target.runs:
@@ -45,25 +46,29 @@
     return [f"{key} ran {n} times" for key, n in runs.items() if n > 1]
 
 
-def leaving_left_alone(world):
-    """A leaving target gets nothing new after a few seconds."""
+def find_requests_to_leaving(world):
+    """Return requests sent to targets that had long been leaving.
+
+    Requests within LEAVING_GRACE_S of the change in the host list are allowed.
+    """
     return [
         f"{run.target} got {run.request_id} "
-        f"{run.started_s - world.left_s[run.target]:.1f} s after it was known"
+        f"{run.started_s - world.leaving_since_s[run.target]:.1f} s "
+        "after it was marked as leaving"
         for target in _targets(world)
         for run in target.runs
-        if run.target in world.left_s
-        and run.started_s > world.left_s[run.target] + LEAVING_S
+        if run.target in world.leaving_since_s
+        and run.started_s > world.leaving_since_s[run.target] + LEAVING_GRACE_S
     ]
 
 
-def drain_cuts_nothing(world):
-    """A graceful shutdown cuts off no request in flight."""
+def find_cut_by_drain(world):
+    """Return requests in flight that a graceful shutdown interrupted."""
     return [
         f"{reply.request_id} was {reply.outcome} at the drained {reply.entry}"
         for reply in world.replies
-        if reply.sent_s < world.closed.get(reply.entry, 0.0)
-        and reply.ended_s > world.closed[reply.entry]
+        if reply.sent_s < world.drained_at_s.get(reply.entry, 0.0)
+        and reply.ended_s > world.drained_at_s[reply.entry]
         and reply.outcome != requests.Outcome.RAN
     ]
 
@@ -73,15 +78,15 @@
 
 
 ALL = (
-    slots_kept,
-    own_answers,
-    not_run_is_true,
-    once_at_most,
-    leaving_left_alone,
-    drain_cuts_nothing,
+    find_slot_breaches,
+    find_wrong_answers,
+    find_false_not_run,
+    find_repeated_runs,
+    find_requests_to_leaving,
+    find_cut_by_drain,
 )
 
 
-def broken(world):
-    """Return what each invariant found wrong."""
+def find_all(world):
+    """Return all violations of the request invariants."""
     return [found for invariant in ALL for found in invariant(world)]
--- a/wisteriawood/tests/faults/request_proofs_tests.py
+++ b/wisteriawood/tests/faults/request_proofs_tests.py
@@ -86,13 +86,13 @@
 
     def check_fault(self, invariant, fault, step, *mechanisms):
         async def _scenario(world):
-            await requests_tests.play(world, fault, step)
+            await requests_tests.run_scenario(world, fault, step)
 
         self.check_proof(invariant, _scenario, *mechanisms)
 
     def test_slot_of_late_target_stays_quarantined(self):
         self.check_fault(
-            request_invariants.slots_kept,
+            request_invariants.find_slot_breaches,
             "target answers late, after the deadline",
             "sent",
             (targets.Target, "release_slot", _release_at_once),
@@ -100,7 +100,7 @@
 
     def test_new_grantor_waits_for_all_slot_reports(self):
         self.check_fault(
-            request_invariants.slots_kept,
+            request_invariants.find_slot_breaches,
             "two: grantor killed, entry host cut from its successor",
             "queued",
             (slot_ledgers.SlotLedger, "is_complete", lambda ledger: True),
@@ -131,7 +131,7 @@
                 world.mend(grantor, "platform")
 
         self.check_proof(
-            request_invariants.slots_kept,
+            request_invariants.find_slot_breaches,
             _scenario,
             (
                 grantors.Grantor,
@@ -144,7 +144,7 @@
 
     def test_answer_to_another_request_is_rejected(self):
         self.check_fault(
-            request_invariants.own_answers,
+            request_invariants.find_wrong_answers,
             "target answers out of order",
             "sent",
             (target_links.HttpTarget, "_to_answer", _accept_any_answer),
@@ -152,7 +152,7 @@
 
     def test_request_that_ran_is_not_reported_as_not_run(self):
         self.check_fault(
-            request_invariants.not_run_is_true,
+            request_invariants.find_false_not_run,
             "target answers half",
             "sent",
             (dispatchers.FailedAttempts, "outcome", _always_not_run),
@@ -160,7 +160,7 @@
 
     def test_request_with_repeated_key_runs_once(self):
         self.check_fault(
-            request_invariants.once_at_most,
+            request_invariants.find_repeated_runs,
             "target answers half",
             "sent",
             (run_once.RunOnce, "serve", _dispatch_without_claim),
@@ -168,7 +168,7 @@
 
     def test_leaving_target_gets_no_new_requests(self):
         self.check_fault(
-            request_invariants.leaving_left_alone,
+            request_invariants.find_requests_to_leaving,
             "target leaving",
             "sent",
             (racks.Rack, "update_target", _ignore_leaving),
@@ -176,7 +176,7 @@
 
     def test_drain_interrupts_no_requests(self):
         self.check_fault(
-            request_invariants.drain_cuts_nothing,
+            request_invariants.find_cut_by_drain,
             "entry host drained",
             "half answered",
             (entry_hosts.EntryHost, "_finish_requests", _skip_wait),
--- a/wisteriawood/tests/faults/request_worlds.py
+++ b/wisteriawood/tests/faults/request_worlds.py
@@ -1,4 +1,4 @@
-"""Worlds in which faults strike at a step of one request."""
+"""Simulated zones in which a fault is injected at a step of one request."""
 
 import dataclasses
 import functools
@@ -16,6 +16,7 @@
 from wisteriawood.standins import worlds
 from wisteriawood.tests import builders
 
+# Idempotency key of the run-once request whose steps trigger the faults.
 PROBE = "probe"
 LOST = "lost"
 LINK_DELAY_S = 0.003
@@ -38,7 +39,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Run:
-    """One request as a target saw it."""
+    """A request as recorded by a target."""
 
     target: str
     request_id: str
@@ -49,7 +50,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Reply:
-    """The end of one request as its caller saw it."""
+    """The outcome of a request as recorded by its caller."""
 
     request_id: str
     entry: str
@@ -62,9 +63,26 @@
 
 
 class RecordingTarget(targets.StandinTarget):
-    """A target that keeps a log and can be frozen, killed and confused."""
+    """A target that records its requests and injects faults.
+
+    Attributes:
+        runs: All requests received.
+        thawed: Event that is not set while the target is frozen.
+        is_dead: Whether the target no longer answers.
+        answer_mode: "twice" or "out of order", for which each answer is
+            replaced by the previous one; "half", for which the link loses
+            each answer; empty for none.
+        previous_reply: The reply to the previous request, if any.
+    """
 
-    __slots__ = ("held", "is_dead", "mode", "runs", "thawed", "world")
+    __slots__ = (
+        "answer_mode",
+        "is_dead",
+        "previous_reply",
+        "runs",
+        "thawed",
+        "world",
+    )
 
     def __init__(self, *, world, **values):
         super().__init__(**values)
@@ -73,8 +91,8 @@
         self.thawed = anyio.Event()
         self.thawed.set()
         self.is_dead = False
-        self.mode = ""
-        self.held = None
+        self.answer_mode = ""
+        self.previous_reply = None
 
     async def serve(self, *, request_id, key, body):
         self.runs.append(
@@ -88,25 +106,28 @@
         )
         is_probe = key == PROBE
         if is_probe:
-            self.world.reach("sent")
-            self.world.reach_after("half answered", self.service_s / 2)
+            self.world.record_step("sent")
+            self.world.record_step_after("half answered", self.service_s / 2)
         reply = await super().serve(request_id=request_id, key=key, body=body)
         await self.thawed.wait()
         if self.is_dead:
             await anyio.sleep_forever()
         if is_probe:
-            self.world.reach("answered")
-        return self._confuse(reply)
-
-    def _confuse(self, reply):
-        held, self.held = self.held, reply
-        if self.mode in ("twice", "out of order") and held is not None:
-            return held
+            self.world.record_step("answered")
+        return self._apply_answer_mode(reply)
+
+    def _apply_answer_mode(self, reply):
+        previous_reply, self.previous_reply = self.previous_reply, reply
+        if (
+            self.answer_mode in ("twice", "out of order")
+            and previous_reply is not None
+        ):
+            return previous_reply
         return reply
 
 
-def http_target(target):
-    """Return the product's HTTP link, with the target behind it."""
+def make_http_link(target):
+    """Return the HTTP link of entry hosts, connected to a stand-in target."""
 
     async def _handle(request):
         reply = await target.serve(
@@ -133,7 +154,7 @@
 
 
 class ObservedLink:
-    """Tells the world that a request has been granted a slot."""
+    """Link to a target that reports when the probe was granted a slot."""
 
     __slots__ = ("_address", "_inner", "_target", "_world")
 
@@ -145,12 +166,12 @@
 
     async def send(self, request, *, timeout_s):
         if request.key == PROBE:
-            self._world.reach("granted")
-        await anyio.sleep(self._world.way_s(self._address))
+            self._world.record_step("granted")
+        await anyio.sleep(self._world.one_way_delay_s(self._address))
         answer = await self._inner.send(request, timeout_s=timeout_s)
-        await anyio.sleep(self._world.way_s(self._address))
-        if self._target.mode == "half":
-            raise errors.RequestUnknownError(reason="cut off half-way")
+        await anyio.sleep(self._world.one_way_delay_s(self._address))
+        if self._target.answer_mode == "half":
+            raise errors.RequestUnknownError(reason="answer cut off")
         return answer
 
     async def aclose(self):
@@ -158,7 +179,7 @@
 
 
 class ObservedPlatform:
-    """Tells the world what has been committed of the probe."""
+    """Platform link that reports which rows of the probe were committed."""
 
     __slots__ = ("_inner", "_world")
 
@@ -174,22 +195,33 @@
         for write in transaction.writes:
             if write.key.endswith(f"/{PROBE}") and write.value:
                 is_end = write.value["status"]
-                self._world.reach("recorded" if is_end else "admitted")
+                self._world.record_step("recorded" if is_end else "admitted")
         return result
 
 
 class RequestWorld(worlds.World):
-    """A zone under load, with a probe whose steps are seen."""
+    """A zone under load that observes the steps of a probe request.
+
+    Attributes:
+        on_step: Function that is called with each step that is reached.
+        reached: Steps reached so far, in order.
+        replies: Outcomes of all requests sent.
+        drained_at_s: Start of the shutdown, by entry host.
+        target_delays_s: One-way delay of the link, by target address.
+        uses_http: Whether entry hosts reach targets through the HTTP link.
+        leaving_since_s: Time at which it was marked as leaving, by target.
+        probe_scope: Cancel scope of the probe's caller.
+    """
 
     __slots__ = (
         "call_scopes",
-        "closed",
-        "left_s",
+        "drained_at_s",
+        "leaving_since_s",
         "on_step",
         "probe_scope",
         "reached",
         "replies",
-        "slow_links_s",
+        "target_delays_s",
         "uses_http",
     )
 
@@ -199,39 +231,41 @@
         self.reached = []
         self.replies = []
         self.call_scopes = {}
-        self.closed = {}
-        self.slow_links_s = {}
+        self.drained_at_s = {}
+        self.target_delays_s = {}
         self.uses_http = False
-        self.left_s = {}
+        self.leaving_since_s = {}
         self.probe_scope = anyio.CancelScope()
 
-    def reach(self, step):
-        """Note that the probe is at a step; the first time counts."""
+    def record_step(self, step):
+        """Record that the probe has reached a step, unless it already has."""
         if step in self.reached:
             return
         self.reached.append(step)
         if step == "admitted":
-            self.reach_after("queued", 0.02)
+            self.record_step_after("queued", 0.02)
         if self.on_step:
             self.on_step(step)
 
-    def reach_after(self, step, delay_s):
+    def record_step_after(self, step, delay_s):
+        """Record a step after a delay; queued only if no slot was granted."""
+
         async def _later():
             await anyio.sleep(delay_s)
             if step != "queued" or "granted" not in self.reached:
-                self.reach(step)
+                self.record_step(step)
 
         self._group.start_soon(_later)
 
     def delay_s(self, sender, receiver):
         if sender in self.targets or receiver in self.targets:
-            # The links to targets wait as long as the product tells them.
+            # ObservedLink adds the delay of links to targets.
             return 0.0
         return LINK_DELAY_S
 
-    def way_s(self, address):
-        """Return the delay of a link to a target, one way."""
-        return self.slow_links_s.get(address, LINK_DELAY_S)
+    def one_way_delay_s(self, address):
+        """Return the one-way delay of the link to a target."""
+        return self.target_delays_s.get(address, LINK_DELAY_S)
 
     def add_target(self, host, *, service_s=SERVICE_S):
         target = RecordingTarget(
@@ -259,7 +293,7 @@
                 world=self,
                 process=process,
                 peer=address,
-                inner=http_target(self.targets[address]),
+                inner=make_http_link(self.targets[address]),
                 unsent=lambda text: errors.RequestNotRunError(reason=text),
                 unknown=lambda text: errors.RequestUnknownError(reason=text),
             )
@@ -271,7 +305,7 @@
         )
 
     def kill_entry(self, name):
-        """Kill an entry host, with the connections of its callers."""
+        """Kill an entry host, which ends the calls of its callers."""
         self.entry_process(name).kill()
         for scope in self.call_scopes.get(name, ()):
             scope.cancel()
@@ -288,7 +322,7 @@
         raise AssertionError("no scheduler holds the rack")
 
     async def call(self, entry, request):
-        """Send a request to an entry host as a caller does."""
+        """Send a request to an entry host and return the caller's record."""
         reply = Reply(
             request_id=request.id,
             entry=entry,
@@ -324,7 +358,7 @@
             reply.outcome, reply.body = outcome, body
 
     async def load(self, caller, entry, *, until_s):
-        """Send one request after the other until a time."""
+        """Send requests one after another until a monotonic time."""
         number = 0
         while anyio.current_time() < until_s:
             number += 1
@@ -339,13 +373,13 @@
             await anyio.sleep(0.1 if is_served else 1.0)
 
     async def probe_until(self, until_s):
-        """Run the probe unless its caller goes away."""
+        """Send the probe; `probe_scope` cancels its caller."""
         with self.probe_scope:
-            await self.probe(until_s=until_s)
+            await self._send_probe(until_s=until_s)
 
-    async def probe(self, *, until_s):
-        """Send a run-once request and repeat it until it has an end."""
-        self.reach("received")
+    async def _send_probe(self, *, until_s):
+        """Send a run-once request and repeat it until it is answered."""
+        self.record_step("received")
         number = 0
         while anyio.current_time() < until_s:
             request = builders.make_request(
@@ -359,14 +393,14 @@
             entry = ENTRIES[number % len(ENTRIES)]
             reply = await self.call(entry, request)
             if reply.outcome == requests.Outcome.RAN:
-                self.reach("replied")
+                self.record_step("replied")
                 return
             number += 1
             await anyio.sleep(0.3)
 
 
 def build(world):
-    """Fill a world with two of each."""
+    """Start two targets, two schedulers and two entry hosts."""
     for name in TARGETS:
         world.add_target(builders.make_target_host(name=name, slots=SLOTS))
     for name in ENTRIES:
@@ -376,10 +410,10 @@
         )
 
 
-def leave(world, name):
-    """Have the platform list a target as leaving."""
+def mark_leaving(world, name):
+    """Mark a target as leaving in the host list."""
     host = builders.make_target_host(name=name, slots=SLOTS, leaving=True)
-    world.left_s[name] = anyio.current_time()
+    world.leaving_since_s[name] = anyio.current_time()
     world.platform.put_host(host)
 
 
--- a/wisteriawood/tests/faults/task_faults.py
+++ b/wisteriawood/tests/faults/task_faults.py
@@ -1,4 +1,4 @@
-"""The faults and steps of the task half of the matrix."""
+"""The faults and steps of the fault matrix of tasks."""
 
 import anyio
 
@@ -13,21 +13,29 @@
 STEPS = registry.Registry(kind="step")
 SUBJECT = "subject"
 POLL_S = 0.02
-ORDER_POLL_S = 0.2
+ACTION_POLL_S = 0.2
 LINK_DELAY_S = 0.05
 
 
-class Cell:
-    """One run of the matrix: a subject among other tasks, and a fault.
+class Scenario:
+    """A scenario of the fault matrix: a subject task among other tasks.
 
     Args:
         world: The world that it runs in.
+
+    Attributes:
+        task_ids: Ids of all tasks of the scenario.
+        cancelled: Monotonic time of the accepted cancellation, by task id.
+        may_finish_twice: Whether an attempt may finish while no scheduler
+            receives the worker's report, so that its task runs again.
+        actions: Actions on the subject that the step requires: "cancel",
+            "evict" or "throttle".
     """
 
     __slots__ = (
+        "actions",
         "cancelled",
-        "is_worker_silent",
-        "orders",
+        "may_finish_twice",
         "task_ids",
         "world",
     )
@@ -36,12 +44,11 @@
         self.world = world
         self.task_ids = [SUBJECT, "other-1", "other-2", "other-3"]
         self.cancelled = {}
-        # A silent worker may finish an attempt that nobody hears of.
-        self.is_worker_silent = False
-        self.orders = set()
+        self.may_finish_twice = False
+        self.actions = set()
 
     def holder(self):
-        """Return the scheduler that has the subject, or any."""
+        """Return the scheduler that placed the subject, or else any."""
         for scheduler in self.world.schedulers.values():
             for rack in scheduler.racks.values():
                 for worker in rack.workers.values():
@@ -49,28 +56,28 @@
                         return scheduler
         return next(iter(self.world.schedulers.values()))
 
-    def process(self):
+    def holder_process(self):
         """Return the process of the holder."""
         name = self.holder().membership.own.name
         return self.world.processes[f"scheduler/{name}"]
 
     def scheduler_processes(self):
-        """Return the names of all schedulers' processes."""
+        """Return the names of the processes of all schedulers."""
         return [
             name
             for name in self.world.processes
             if name.startswith("scheduler/")
         ]
 
-    def address(self):
-        """Return the address of the subject's worker, or of any."""
-        row = self.placed()
+    def worker_address(self):
+        """Return the address of the subject's worker, or else of any."""
+        row = self.placed_row()
         if row is not None:
             return row.value["worker_address"]
         return "worker-1:1"
 
-    def is_marked(self):
-        """Tell whether a scheduler knows that the subject is cancelled."""
+    def is_cancel_known(self):
+        """Return whether a scheduler knows that the subject is cancelled."""
         return any(
             worker.placements[SUBJECT].is_cancelled
             for scheduler in self.world.schedulers.values()
@@ -79,7 +86,7 @@
             if SUBJECT in worker.placements
         )
 
-    def placed(self):
+    def placed_row(self):
         """Return the row of the subject while it is placed, or None."""
         for rack in ("rack-1", "rack-2"):
             key = keys.placed("linz-a", rack, SUBJECT)
@@ -89,7 +96,7 @@
         return None
 
     def records(self):
-        """Return the subject's records, oldest first."""
+        """Return the records of the subject's attempts, oldest first."""
         return sorted(
             (
                 record
@@ -100,331 +107,336 @@
             key=lambda record: record.started_s,
         )
 
-    def is_called(self, name):
-        """Tell whether a scheduler has called a worker's method."""
+    def was_called(self, name):
+        """Return whether this method of any worker was called."""
         return any(call[2] == name for call in self.world.calls)
 
     def has_row(self, key):
-        """Tell whether the table has a row."""
+        """Return whether the table has a row with this key."""
         return key in self.world.platform.table
 
     async def cancel(self, task_ids):
-        """Cancel tasks and note when that was accepted."""
+        """Cancel tasks and record when each cancellation was accepted."""
         await jobs.cancel(self.world.platform, task_ids)
         for task_id in task_ids:
             if self.has_row(keys.cancel("linz-a", task_id)):
                 self.cancelled[task_id] = anyio.current_time()
 
-    async def give_orders(self):
-        """Order the eviction and throttling that the step calls for."""
+    async def perform_actions(self):
+        """Perform the actions until the subject has ended or restarted.
+
+        Only its first attempt is evicted or throttled, while it runs.
+        """
         while len(self.records()) < 2 and not self.has_row(
             keys.ended(SUBJECT)
         ):
             for scheduler in self.world.schedulers.values():
                 for rack in list(scheduler.racks.values()):
                     for worker in list(rack.workers.values()):
-                        self._order(worker)
-            if "cancel" in self.orders and self.records():
-                self.orders.discard("cancel")
+                        self._request_actions(worker)
+            if "cancel" in self.actions and self.records():
+                self.actions.discard("cancel")
                 await self.cancel([SUBJECT])
-            await anyio.sleep(ORDER_POLL_S)
+            await anyio.sleep(ACTION_POLL_S)
 
-    def _order(self, worker):
+    def _request_actions(self, worker):
         placement = worker.placements.get(SUBJECT)
         if placement is None or placement.task.attempt != 1:
             return
         if placement.task.state != tasks.TaskState.RUNNING:
             return
-        if "throttle" in self.orders:
+        if "throttle" in self.actions:
             worker.order_throttle(SUBJECT, 0.5)
-        if "evict" in self.orders:
-            worker.order_eviction(SUBJECT, "the test wants it")
+        if "evict" in self.actions:
+            worker.order_eviction(SUBJECT, "requested by the test")
 
 
-# Steps: each tells whether the subject has reached it.
+# Steps: each function returns whether the subject has reached the step.
 
 
 @STEPS.register("submitted")
-def _submitted(cell):
-    return cell.has_row(keys.pending("linz-a", SUBJECT))
+def _submitted(scenario):
+    return scenario.has_row(keys.pending("linz-a", SUBJECT))
 
 
 @STEPS.register("assigned")
-def _assigned(cell):
-    return cell.placed() is not None
+def _assigned(scenario):
+    return scenario.placed_row() is not None
 
 
 @STEPS.register("start-sent")
-def _start_sent(cell):
-    return cell.is_called("start")
+def _start_sent(scenario):
+    return scenario.was_called("start")
 
 
 @STEPS.register("started")
-def _started(cell):
-    return bool(cell.records())
+def _started(scenario):
+    return bool(scenario.records())
 
 
 @STEPS.register("running")
-def _running(cell):
-    row = cell.placed()
+def _running(scenario):
+    row = scenario.placed_row()
     return row is not None and row.value["state"] == "running"
 
 
 @STEPS.register("throttled")
-def _throttled(cell):
-    cell.orders.add("throttle")
+def _throttled(scenario):
+    scenario.actions.add("throttle")
     return any(
         attempt.share < 1.0
-        for worker in cell.world.workers.values()
+        for worker in scenario.world.workers.values()
         for attempt in worker.attempts.values()
     )
 
 
 @STEPS.register("checkpointing")
-def _checkpointing(cell):
-    cell.orders.add("evict")
-    return cell.is_called("checkpoint")
+def _checkpointing(scenario):
+    scenario.actions.add("evict")
+    return scenario.was_called("checkpoint")
 
 
 @STEPS.register("stop-sent")
-def _stop_sent(cell):
-    cell.orders.add("evict")
-    return cell.is_called("stop")
+def _stop_sent(scenario):
+    scenario.actions.add("evict")
+    return scenario.was_called("stop")
 
 
 @STEPS.register("stopped")
-def _stopped(cell):
-    cell.orders.add("evict")
-    return any(record.end for record in cell.records())
+def _stopped(scenario):
+    scenario.actions.add("evict")
+    return any(record.end for record in scenario.records())
 
 
 @STEPS.register("evicted")
-def _evicted(cell):
-    cell.orders.add("evict")
-    row = cell.world.platform.table.get(keys.pending("linz-a", SUBJECT))
+def _evicted(scenario):
+    scenario.actions.add("evict")
+    row = scenario.world.platform.table.get(keys.pending("linz-a", SUBJECT))
     return row is not None and row.value["state"] == "evicted"
 
 
 @STEPS.register("resumed")
-def _resumed(cell):
-    cell.orders.add("evict")
-    return len(cell.records()) > 1
+def _resumed(scenario):
+    scenario.actions.add("evict")
+    return len(scenario.records()) > 1
 
 
 @STEPS.register("finished")
-def _finished(cell):
-    return any(record.end == "finished" for record in cell.records())
+def _finished(scenario):
+    return any(record.end == "finished" for record in scenario.records())
 
 
 @STEPS.register("recorded")
-def _recorded(cell):
-    return cell.has_row(keys.ended(SUBJECT))
+def _recorded(scenario):
+    return scenario.has_row(keys.ended(SUBJECT))
 
 
 @STEPS.register("cancelled")
-def _cancelled(cell):
-    if SUBJECT not in cell.cancelled:
-        cell.orders.add("cancel")
-    return SUBJECT in cell.cancelled
+def _cancelled(scenario):
+    if SUBJECT not in scenario.cancelled:
+        scenario.actions.add("cancel")
+    return SUBJECT in scenario.cancelled
 
 
-# Faults: each injects one and may wait to mend it.
+# Faults: each function injects a fault; one with a duration also ends it.
 
 
-def _kill(cell):
-    cell.process().kill()
+def _kill(scenario):
+    scenario.holder_process().kill()
 
 
 @FAULTS.register("scheduler killed")
-async def _scheduler_killed(cell):
-    _kill(cell)
+async def _scheduler_killed(scenario):
+    _kill(scenario)
 
 
 @FAULTS.register("scheduler killed and started anew")
-async def _scheduler_restarted(cell):
-    name = cell.holder().membership.own.name
-    _kill(cell)
+async def _scheduler_restarted(scenario):
+    name = scenario.holder().membership.own.name
+    _kill(scenario)
     await anyio.sleep(1)
-    cell.world.add_scheduler(
-        builders.make_member(name=name, incarnation="anew")
+    scenario.world.add_scheduler(
+        builders.make_member(name=name, incarnation="second")
     )
 
 
 @FAULTS.register("scheduler stopped")
-async def _scheduler_stopped(cell):
-    cell.holder().stopping.set()
+async def _scheduler_stopped(scenario):
+    scenario.holder().stopping.set()
 
 
 @FAULTS.register("scheduler frozen 30 s, then acts")
-async def _scheduler_frozen(cell):
-    process = cell.process()
+async def _scheduler_frozen(scenario):
+    process = scenario.holder_process()
     process.freeze()
     await anyio.sleep(30)
     process.wake()
 
 
 @FAULTS.register("scheduler cut off 30 s, then far from the platform")
-async def _scheduler_cut_and_far(cell):
-    """Its worker leaves meanwhile, so that the task moves."""
-    cell.is_worker_silent = True
-    _list_as_leaving(cell)
-    name = cell.process().name
-    others = [processes.PLATFORM, *cell.world.workers]
+async def _scheduler_cut_and_far(scenario):
+    """Cut off the holder of a leaving worker, so that its task moves."""
+    scenario.may_finish_twice = True
+    _mark_leaving(scenario)
+    name = scenario.holder_process().name
+    others = [processes.PLATFORM, *scenario.world.workers]
     for other in others:
-        cell.world.cut(name, other)
+        scenario.world.cut(name, other)
     await anyio.sleep(30)
-    cell.world.delays_s[(name, processes.PLATFORM)] = 1.5
+    scenario.world.delays_s[(name, processes.PLATFORM)] = 1.5
     for other in others:
-        cell.world.mend(name, other)
+        scenario.world.mend(name, other)
     await anyio.sleep(20)
-    del cell.world.delays_s[(name, processes.PLATFORM)]
+    del scenario.world.delays_s[(name, processes.PLATFORM)]
 
 
 @FAULTS.register("scheduler cut from the platform 60 s")
-async def _scheduler_cut(cell):
-    name = cell.process().name
-    cell.world.cut(name, processes.PLATFORM)
+async def _scheduler_cut(scenario):
+    name = scenario.holder_process().name
+    scenario.world.cut(name, processes.PLATFORM)
     await anyio.sleep(60)
-    cell.world.mend(name, processes.PLATFORM)
+    scenario.world.mend(name, processes.PLATFORM)
 
 
 @FAULTS.register("scheduler cut from the worker 60 s")
-async def _link_cut(cell):
-    cell.is_worker_silent = True
-    name, address = cell.process().name, cell.address()
-    cell.world.cut(name, address)
+async def _worker_link_cut(scenario):
+    scenario.may_finish_twice = True
+    name, address = scenario.holder_process().name, scenario.worker_address()
+    scenario.world.cut(name, address)
     await anyio.sleep(60)
-    cell.world.mend(name, address)
+    scenario.world.mend(name, address)
 
 
 @FAULTS.register("commands delayed past a takeover")
-async def _delayed(cell):
-    name, address = cell.process().name, cell.address()
-    cell.world.delays_s[(name, address)] = 20.0
+async def _commands_delayed(scenario):
+    name, address = scenario.holder_process().name, scenario.worker_address()
+    scenario.world.delays_s[(name, address)] = 20.0
     await anyio.sleep(0.5)
-    _kill(cell)
+    _kill(scenario)
 
 
 @FAULTS.register("entry host killed")
-async def _entry_killed(cell):
-    cell.world.processes["entry/linz-a-1"].kill()
+async def _entry_killed(scenario):
+    scenario.world.processes["entry/linz-a-1"].kill()
 
 
 @FAULTS.register("entry host frozen 30 s")
-async def _entry_frozen(cell):
-    process = cell.world.processes["entry/linz-a-1"]
+async def _entry_frozen(scenario):
+    process = scenario.world.processes["entry/linz-a-1"]
     process.freeze()
     await anyio.sleep(30)
     process.wake()
 
 
 @FAULTS.register("entry host cut off 30 s")
-async def _entry_cut(cell):
-    others = [processes.PLATFORM, *cell.scheduler_processes()]
+async def _entry_cut(scenario):
+    others = [processes.PLATFORM, *scenario.scheduler_processes()]
     for other in others:
-        cell.world.cut("entry/linz-a-1", other)
+        scenario.world.cut("entry/linz-a-1", other)
     await anyio.sleep(30)
     for other in others:
-        cell.world.mend("entry/linz-a-1", other)
+        scenario.world.mend("entry/linz-a-1", other)
 
 
 @FAULTS.register("worker killed")
-async def _worker_killed(cell):
-    cell.is_worker_silent = True
-    cell.world.kill_worker(cell.address())
+async def _worker_killed(scenario):
+    scenario.may_finish_twice = True
+    scenario.world.kill_worker(scenario.worker_address())
 
 
 @FAULTS.register("worker lost all it ran")
-async def _worker_restarted(cell):
-    cell.is_worker_silent = True
-    cell.world.workers[cell.address()].lose_all()
+async def _worker_restarted(scenario):
+    scenario.may_finish_twice = True
+    scenario.world.workers[scenario.worker_address()].lose_all()
 
 
 @FAULTS.register("worker frozen 40 s")
-async def _worker_frozen(cell):
-    cell.is_worker_silent = True
-    worker = cell.world.workers[cell.address()]
+async def _worker_frozen(scenario):
+    scenario.may_finish_twice = True
+    worker = scenario.world.workers[scenario.worker_address()]
     worker.faults.frozen = True
     await anyio.sleep(40)
     worker.faults.frozen = False
 
 
 @FAULTS.register("worker cut off 40 s")
-async def _worker_cut(cell):
-    cell.is_worker_silent = True
-    address = cell.address()
-    for name in cell.scheduler_processes():
-        cell.world.cut(name, address)
+async def _worker_cut(scenario):
+    scenario.may_finish_twice = True
+    address = scenario.worker_address()
+    for name in scenario.scheduler_processes():
+        scenario.world.cut(name, address)
     await anyio.sleep(40)
-    for name in cell.scheduler_processes():
-        cell.world.mend(name, address)
+    for name in scenario.scheduler_processes():
+        scenario.world.mend(name, address)
 
 
 @FAULTS.register("worker fails everything")
-async def _worker_fails(cell):
-    cell.world.workers[cell.address()].faults.fails_everything = True
+async def _worker_fails(scenario):
+    worker = scenario.world.workers[scenario.worker_address()]
+    worker.faults.fails_everything = True
 
 
 @FAULTS.register("rack lost")
-async def _rack_lost(cell):
-    cell.is_worker_silent = True
-    row = cell.placed()
+async def _rack_lost(scenario):
+    scenario.may_finish_twice = True
+    row = scenario.placed_row()
     lost = row.value["rack"] if row else "rack-1"
     for number in (1, 2) if lost == "rack-1" else (3, 4):
-        cell.world.kill_worker(f"worker-{number}:1")
+        scenario.world.kill_worker(f"worker-{number}:1")
 
 
 @FAULTS.register("zone cut off 60 s")
-async def _zone_cut(cell):
-    names = cell.scheduler_processes()
+async def _zone_cut(scenario):
+    names = scenario.scheduler_processes()
     for name in names:
-        cell.world.cut(name, processes.PLATFORM)
+        scenario.world.cut(name, processes.PLATFORM)
     await anyio.sleep(60)
     for name in names:
-        cell.world.mend(name, processes.PLATFORM)
+        scenario.world.mend(name, processes.PLATFORM)
 
 
 @FAULTS.register("platform down 10 minutes")
-async def _platform_down(cell):
-    cell.world.platform.faults.down = True
+async def _platform_down(scenario):
+    scenario.world.platform.faults.down = True
     await anyio.sleep(600)
-    cell.world.platform.faults.down = False
+    scenario.world.platform.faults.down = False
 
 
 @FAULTS.register("platform slow 60 s")
-async def _platform_slow(cell):
-    cell.world.platform.faults.slow_s = 1.0
+async def _platform_slow(scenario):
+    scenario.world.platform.faults.slow_s = 1.0
     await anyio.sleep(60)
-    cell.world.platform.faults.slow_s = 0.0
+    scenario.world.platform.faults.slow_s = 0.0
 
 
 @FAULTS.register("20 acknowledgements lost")
-async def _answers_lost(cell):
-    cell.world.platform.faults.answers_lost = 20
+async def _answers_lost(scenario):
+    scenario.world.platform.faults.answers_lost = 20
 
 
 @FAULTS.register("object store down 60 s")
-async def _objects_down(cell):
-    cell.world.platform.faults.objects_down = True
+async def _objects_down(scenario):
+    scenario.world.platform.faults.objects_down = True
     await anyio.sleep(60)
-    cell.world.platform.faults.objects_down = False
+    scenario.world.platform.faults.objects_down = False
 
 
 @FAULTS.register("host list lags 60 s and lacks a live worker")
-async def _hosts_lag(cell):
-    cell.world.platform.remove_host(cell.address().split(":")[0])
-    cell.world.platform.faults.hosts_lag_s = 60.0
+async def _host_list_lags(scenario):
+    name = scenario.worker_address().split(":")[0]
+    scenario.world.platform.remove_host(name)
+    scenario.world.platform.faults.hosts_lag_s = 60.0
 
 
 @FAULTS.register("cancellation wave")
-async def _cancel_wave(cell):
-    await cell.cancel(cell.task_ids)
+async def _cancel_wave(scenario):
+    await scenario.cancel(scenario.task_ids)
 
 
-def _list_as_leaving(cell):
-    name = cell.address().split(":")[0]
+def _mark_leaving(scenario):
+    name = scenario.worker_address().split(":")[0]
     number = int(name.rsplit("-", 1)[1])
-    cell.world.platform.put_host(
+    scenario.world.platform.put_host(
         builders.make_worker_host(
             name=name, rack=f"rack-{(number + 1) // 2}", leaving=True
         )
@@ -432,84 +444,84 @@
 
 
 @FAULTS.register("operators race: cancel, submit and drain at once")
-async def _operators_race(cell):
-    _list_as_leaving(cell)
+async def _operators_race(scenario):
+    _mark_leaving(scenario)
     spec = builders.make_spec(id="late")
-    cell.task_ids.append(spec.id)
+    scenario.task_ids.append(spec.id)
     async with anyio.create_task_group() as group:
-        group.start_soon(cell.cancel, ["other-1", SUBJECT])
-        group.start_soon(_submit, cell, spec)
-        group.start_soon(cell.cancel, [SUBJECT, "other-2"])
+        group.start_soon(scenario.cancel, ["other-1", SUBJECT])
+        group.start_soon(_submit, scenario, spec)
+        group.start_soon(scenario.cancel, [SUBJECT, "other-2"])
 
 
-async def _submit(cell, spec):
-    await jobs.submit(cell.world.platform, [spec], zone="linz-a")
+async def _submit(scenario, spec):
+    await jobs.submit(scenario.world.platform, [spec], zone="linz-a")
 
 
 @FAULTS.register("scheduler killed and worker frozen 40 s")
-async def _two_together(cell):
-    cell.is_worker_silent = True
-    worker = cell.world.workers[cell.address()]
-    _kill(cell)
+async def _scheduler_killed_and_worker_frozen(scenario):
+    scenario.may_finish_twice = True
+    worker = scenario.world.workers[scenario.worker_address()]
+    _kill(scenario)
     worker.faults.frozen = True
     await anyio.sleep(40)
     worker.faults.frozen = False
 
 
 @FAULTS.register("platform down 60 s and scheduler killed after 10 s")
-async def _two_in_turn(cell):
-    cell.world.platform.faults.down = True
+async def _platform_down_then_scheduler_killed(scenario):
+    scenario.world.platform.faults.down = True
     await anyio.sleep(10)
-    _kill(cell)
+    _kill(scenario)
     await anyio.sleep(50)
-    cell.world.platform.faults.down = False
+    scenario.world.platform.faults.down = False
 
 
 @FAULTS.register("scheduler killed twice")
-async def _killed_twice(cell):
-    _kill(cell)
+async def _scheduler_killed_twice(scenario):
+    _kill(scenario)
     await anyio.sleep(12)
-    cell.world.add_scheduler(
+    scenario.world.add_scheduler(
         builders.make_member(name="linz-a-3", peer_address="linz-a-3:1")
     )
     await anyio.sleep(3)
-    _kill(cell)
+    _kill(scenario)
 
 
 @FAULTS.register("scheduler cut from the platform, successor from the worker")
-async def _cut_apart(cell):
-    cell.is_worker_silent = True
-    name, address = cell.process().name, cell.address()
-    cell.world.cut(name, processes.PLATFORM)
-    for other in cell.scheduler_processes():
+async def _scheduler_and_successor_cut(scenario):
+    scenario.may_finish_twice = True
+    name, address = scenario.holder_process().name, scenario.worker_address()
+    scenario.world.cut(name, processes.PLATFORM)
+    for other in scenario.scheduler_processes():
         if other != name:
-            cell.world.cut(other, address)
+            scenario.world.cut(other, address)
     await anyio.sleep(90)
-    cell.world.mend(name, processes.PLATFORM)
-    for other in cell.scheduler_processes():
-        cell.world.mend(other, address)
+    scenario.world.mend(name, processes.PLATFORM)
+    for other in scenario.scheduler_processes():
+        scenario.world.mend(other, address)
 
 
 @FAULTS.register("scheduler killed while more is submitted")
-async def _killed_under_load(cell):
-    _kill(cell)
-    # Each of a class of its own, or the first ones would be waited for to
-    # learn the class, and no worker would fill up.
+async def _scheduler_killed_under_load(scenario):
+    _kill(scenario)
+    # With one class for all, most tasks would wait until the needs of the
+    # class are measured, and no worker would be filled.
     specs = [
         builders.make_spec(id=f"more-{number}", task_class=f"class-{number}")
         for number in range(12)
     ]
-    cell.task_ids.extend(spec.id for spec in specs)
-    await jobs.submit(cell.world.platform, specs, zone="linz-a")
+    scenario.task_ids.extend(spec.id for spec in specs)
+    await jobs.submit(scenario.world.platform, specs, zone="linz-a")
 
 
 @FAULTS.register("cancelled and scheduler killed")
-async def _cancelled_and_killed(cell):
-    await cell.cancel(cell.task_ids)
-    while _has_cancel(cell) and not cell.is_marked():
+async def _cancelled_and_killed(scenario):
+    await scenario.cancel(scenario.task_ids)
+    while _has_cancel(scenario) and not scenario.is_cancel_known():
         await anyio.sleep(POLL_S)
-    _kill(cell)
+    _kill(scenario)
 
 
-def _has_cancel(cell):
-    return cell.has_row(keys.cancel("linz-a", SUBJECT))
+def _has_cancel(scenario):
+    return scenario.has_row(keys.cancel("linz-a", SUBJECT))
--- a/wisteriawood/tests/faults/tasks_tests.py
+++ b/wisteriawood/tests/faults/tasks_tests.py
@@ -1,4 +1,4 @@
-"""Every fault at every step of a task, in virtual time."""
+"""The fault matrix of tasks: each fault at each step, in virtual time."""
 
 import os
 import unittest
@@ -11,16 +11,16 @@
 from wisteriawood.tests.faults import task_faults
 from wisteriawood.tests import invariants
 
-STEP_MAX_S = 60.0
-END_MAX_S = 1200.0
-# `python -m wisteriawood.tests.faults` runs every cell; the other checks
-# run one in six, the same ones each time.
-SHARE = 6
+STEP_TIMEOUT_S = 60.0
+END_TIMEOUT_S = 1200.0
+# `python -m wisteriawood.tests.faults` runs all scenarios; other test runs
+# include one in STRIDE, always the same ones.
+STRIDE = 6
 IS_FULL = os.environ.get("WISTERIAWOOD_FAULTS") == "all"
 
 
 def build(world):
-    """Fill a world: two schedulers, two racks of two workers."""
+    """Start two schedulers and two racks of two workers each."""
     capacity = builders.make_resources(
         cores=3.0, memory_bytes=3 * builders.GIB
     )
@@ -39,50 +39,57 @@
             world.delays_s[pair] = task_faults.LINK_DELAY_S
 
 
-async def run_cell(world, fault, step, *, run_s=10.0):
-    """Run one cell and return the breaches found in it."""
+async def run_scenario(world, fault, step, *, run_s=10.0):
+    """Run one scenario and return the violations found.
+
+    Args:
+        world: A new world.
+        fault: Name of the fault.
+        step: Step of the task at which the fault is injected.
+        run_s: Run time of the tasks in seconds.
+    """
     build(world)
     if fault.startswith("entry host"):
         world.add_entry(builders.make_member(role=holdings.Role.ENTRY))
-    cell = task_faults.Cell(world=world)
-    world.start_soon(cell.give_orders)
+    scenario = task_faults.Scenario(world=world)
+    world.start_soon(scenario.perform_actions)
     await anyio.sleep(3)
     specs = [
-        builders.make_spec(id=name, run_s=run_s) for name in cell.task_ids
+        builders.make_spec(id=name, run_s=run_s) for name in scenario.task_ids
     ]
     await jobs.submit(world.platform, specs, zone="linz-a")
-    with anyio.move_on_after(STEP_MAX_S) as waited:
-        while not task_faults.STEPS.get(step)(cell):
+    with anyio.move_on_after(STEP_TIMEOUT_S) as timeout:
+        while not task_faults.STEPS.get(step)(scenario):
             await anyio.sleep(task_faults.POLL_S)
-    if waited.cancelled_caught:
+    if timeout.cancelled_caught:
         return [f"the step {step} was not reached"]
-    await task_faults.FAULTS.get(fault)(cell)
-    with anyio.move_on_after(END_MAX_S):
-        while invariants.find_unended(world, cell.task_ids):
+    await task_faults.FAULTS.get(fault)(scenario)
+    with anyio.move_on_after(END_TIMEOUT_S):
+        while invariants.find_unended(world, scenario.task_ids):
             await anyio.sleep(1)
     await anyio.sleep(20)
     repeats = invariants.find_repeats(world)
     return [
-        *([] if cell.is_worker_silent else repeats),
+        *([] if scenario.may_finish_twice else repeats),
         *invariants.find_all(
-            world, task_ids=cell.task_ids, cancelled=cell.cancelled
+            world, task_ids=scenario.task_ids, cancelled=scenario.cancelled
         ),
-        *invariants.find_unended(world, cell.task_ids),
+        *invariants.find_unended(world, scenario.task_ids),
     ]
 
 
 class TaskFaultTests(unittest.TestCase):
 
     def _check_step(self, step):
-        place = task_faults.STEPS.names().index(step)
+        step_index = task_faults.STEPS.names().index(step)
         for number, fault in enumerate(task_faults.FAULTS.names()):
-            if not IS_FULL and (number + place) % SHARE:
+            if not IS_FULL and (number + step_index) % STRIDE:
                 continue
             with self.subTest(step=step, fault=fault):
                 found = []
 
                 async def _check(world):
-                    found.extend(await run_cell(world, fault, step))
+                    found.extend(await run_scenario(world, fault, step))
 
                 builders.run_world(_check)
                 self.assertEqual([], found)
