--- a/wisteriawood/cells/claims.py
+++ b/wisteriawood/cells/claims.py
@@ -98,7 +98,7 @@
         expected={at: previous.version if previous else 0},
         writes={at: rows.to_json(row)},
     )
-    version = await stores.commit_settled(
+    version = await stores.commit_with_retry(
         store, change, give_up_at_s=anyio.current_time() + CLAIM_TIMEOUT_S
     )
     return Claim(cell=cell, row=row, version=version)
--- a/wisteriawood/cells/command_senders.py
+++ b/wisteriawood/cells/command_senders.py
@@ -73,10 +73,10 @@
             if run.is_stopping or not self._may_be_on_worker(run):
                 return
             answer = await self._send_start(run)
-            if answer is None or answer is runners.StartAnswer.TOO_LATE:
+            if answer is None or answer is runners.StartResult.TOO_LATE:
                 await anyio.sleep(RETRY_DELAY_S)
                 continue
-            if answer is runners.StartAnswer.STARTED:
+            if answer is runners.StartResult.STARTED:
                 run.mark_answered(anyio.current_time())
                 run.confirm(run.answered_at_s)
                 if run.is_pinned:
@@ -103,9 +103,9 @@
         run.is_stopping = True
         await self._stop(run)
 
-    async def _send_start(self, run: runs.Run) -> runners.StartAnswer | None:
+    async def _send_start(self, run: runs.Run) -> runners.StartResult | None:
         worker = self._worker
-        command = runners.StartOrder(
+        command = runners.StartRunCommand(
             task_name=run.name,
             run=run.number,
             payload=run.job.spec.payload,
@@ -122,14 +122,14 @@
             raise
         except errors.LinkError:
             return None
-        if answer is runners.StartAnswer.FENCED:
+        if answer is runners.StartResult.FENCED:
             if worker.token > command.token:
                 return None
             raise runners.FencedError("a start was fenced")
         return answer
 
     def _handle_refusal(
-        self, run: runs.Run, answer: runners.StartAnswer, *, is_first: bool
+        self, run: runs.Run, answer: runners.StartResult, *, is_first: bool
     ) -> None:
         worker = self._worker
         now_s = anyio.current_time()
@@ -141,10 +141,10 @@
             answer=answer,
         )
         worker.record_refusal(now_s)
-        if answer is runners.StartAnswer.UNHEALTHY:
+        if answer is runners.StartResult.UNHEALTHY:
             worker.avoided_until_s = now_s + UNHEALTHY_PAUSE_S
         run.mark_answered(now_s)
-        if answer is runners.StartAnswer.OLD_RUN:
+        if answer is runners.StartResult.OLD_RUN:
             # The next report either lists the end of the run or omits the
             # run, which ends it.
             return
--- a/wisteriawood/cells/job_writers.py
+++ b/wisteriawood/cells/job_writers.py
@@ -17,7 +17,7 @@
 # Duration from which a transaction counts as slow.
 SLOW_COMMIT_S = 0.3
 # Most rows of jobs in one transaction, besides the row of the claim.
-MAX_ROWS = stores.MAX_ENTRIES - 2
+MAX_ROWS = stores.MAX_TRANSACTION_ROWS - 2
 # Bytes of one transaction; base64 adds a third, and the store accepts 1 MB.
 MAX_TRANSACTION_BYTES = 600_000
 
@@ -166,7 +166,7 @@
                 bucket, waiting, batch.extra_rows
             )
             try:
-                version = await stores.commit_settled(self._store, change)
+                version = await stores.commit_with_retry(self._store, change)
             except stores.ChangeConflictError as exc:
                 _LOG.log(
                     job_events.JOB_ROW_CHANGED,
--- a/wisteriawood/cells/members.py
+++ b/wisteriawood/cells/members.py
@@ -150,7 +150,9 @@
                 heartbeat = claims.read_heartbeat(row)
             except errors.MessageError as exc:
                 _LOG.log(
-                    job_events.BEAT_UNREADABLE, host=row.at.key, cause=str(exc)
+                    job_events.HEARTBEAT_UNREADABLE,
+                    host=row.at.key,
+                    cause=str(exc),
                 )
                 continue
             known = self.by_name.get(row.at.key)
@@ -311,7 +313,9 @@
         try:
             await self._store.commit(change)
         except errors.PlatformError as exc:
-            _LOG.log(job_events.BEAT_FAILED, host=self.name, cause=str(exc))
+            _LOG.log(
+                job_events.HEARTBEAT_FAILED, host=self.name, cause=str(exc)
+            )
             return False
         self.heartbeat_written_at_s = anyio.current_time()
         return True
--- a/wisteriawood/cells/weight_exchanges.py
+++ b/wisteriawood/cells/weight_exchanges.py
@@ -37,7 +37,7 @@
                 await self.exchange()
             except errors.PlatformError as exc:
                 _LOG.log(
-                    job_events.KNOWLEDGE_NOT_SHARED,
+                    job_events.WEIGHTS_NOT_SHARED,
                     cell=self._cell.name,
                     cause=str(exc),
                 )
@@ -68,7 +68,7 @@
             self._cell.model.import_pairs(row.at.key, weights)
         except (msgspec.DecodeError, ValueError) as exc:
             _LOG.log(
-                job_events.KNOWLEDGE_UNREADABLE,
+                job_events.WEIGHTS_UNREADABLE,
                 cell=row.at.key,
                 cause=str(exc),
             )
--- a/wisteriawood/cells/worker_sessions.py
+++ b/wisteriawood/cells/worker_sessions.py
@@ -142,9 +142,9 @@
     ) -> None:
         worker = self._worker
         now_s = anyio.current_time()
-        if worker.born_unix_ms not in (0, report.born_unix_ms):
+        if worker.started_unix_ms not in (0, report.started_unix_ms):
             self._reset_after_restart()
-        worker.born_unix_ms = report.born_unix_ms
+        worker.started_unix_ms = report.started_unix_ms
         batches = self._process_ended_runs(report)
         listed = self._process_active_runs(report, now_s)
         for run in list(worker.runs.values()):
--- a/wisteriawood/cells/workers.py
+++ b/wisteriawood/cells/workers.py
@@ -47,7 +47,7 @@
         runs: Runs that may be on the worker, by task name.
         acknowledged: Number of the last reported end that is stored.
         last_processed_end: Number of the last reported end that was processed.
-        born_unix_ms: Start of the worker's known process, as wall time; 0
+        started_unix_ms: Start of the worker's known process, as wall time; 0
             before its first answer.
         answered_at_s: Monotonic time of the last answer; 0 before the first.
         commands: Queues the runs to start or stop.
@@ -76,7 +76,7 @@
         "answered_at_s",
         "avoided_until_s",
         "blocked_images_until_s",
-        "born_unix_ms",
+        "started_unix_ms",
         "commands",
         "commands_out",
         "filler_millicores",
@@ -110,7 +110,7 @@
         self.runs: dict[str, runs.Run] = {}
         self.acknowledged = 0
         self.last_processed_end = 0
-        self.born_unix_ms = 0
+        self.started_unix_ms = 0
         self.answered_at_s = 0.0
         self.is_gone = False
         self.is_closed = False
@@ -242,7 +242,7 @@
         return (
             not self.is_gone
             and not self.registration.is_draining
-            and self.born_unix_ms > 0
+            and self.started_unix_ms > 0
             and self.has_answered_recently(now_s)
             and now_s >= self.avoided_until_s
         )
--- a/wisteriawood/commands/explain.py
+++ b/wisteriawood/commands/explain.py
@@ -147,7 +147,7 @@
     try:
         task = await jobs.find(platform, task_id)
         if task.state in tasks.WAITING_STATES:
-            task.reason = await _ask_why(platform, task) or task.reason
+            task.reason = await _ask_schedulers(platform, task) or task.reason
         return task
     except errors.NotFoundError:
         return None
@@ -155,7 +155,9 @@
         await platform.aclose()
 
 
-async def _ask_why(platform: platforms.Platform, task: tasks.Task) -> str:
+async def _ask_schedulers(
+    platform: platforms.Platform, task: tasks.Task
+) -> str:
     """Return the reason for waiting from the schedulers of the task's zone.
 
     The reason is empty if no scheduler gives one.
--- a/wisteriawood/links/commits.py
+++ b/wisteriawood/links/commits.py
@@ -150,7 +150,7 @@
                 writes=[w for change in batch for w in change.writes],
             )
             try:
-                result = await platforms.commit_settled(
+                result = await platforms.commit_with_retry(
                     self._platform, transaction
                 )
             except errors.PlatformUnavailableError as exc:
--- a/wisteriawood/links/configurations.py
+++ b/wisteriawood/links/configurations.py
@@ -213,7 +213,7 @@
         ],
         writes=_version_writes(change, document),
     )
-    result = await platforms.commit_settled(platform, transaction)
+    result = await platforms.commit_with_retry(platform, transaction)
     return result.committed
 
 
--- a/wisteriawood/links/drains.py
+++ b/wisteriawood/links/drains.py
@@ -74,6 +74,6 @@
         key=keys.drain(kind, name),
         value=None if value is None else rows.to_value(value),
     )
-    await platforms.commit_settled(
+    await platforms.commit_with_retry(
         platform, platforms.Transaction(writes=[write])
     )
--- a/wisteriawood/links/jobs.py
+++ b/wisteriawood/links/jobs.py
@@ -42,7 +42,7 @@
                 key=pointer, value=rows.to_value(tasks.TaskPointer(key=key))
             )
         )
-    result = await platforms.commit_settled(
+    result = await platforms.commit_with_retry(
         platform, platforms.Transaction(conditions=conditions, writes=writes)
     )
     if not result.committed:
@@ -113,6 +113,6 @@
                 platforms.Write(key=keys.cancel(task.zone, task_id), value={})
             )
     if writes:
-        await platforms.commit_settled(
+        await platforms.commit_with_retry(
             platform, platforms.Transaction(writes=writes)
         )
--- a/wisteriawood/links/platforms.py
+++ b/wisteriawood/links/platforms.py
@@ -271,7 +271,7 @@
         await self._client.aclose()
 
 
-async def commit_settled(
+async def commit_with_retry(
     platform: Platform, transaction: Transaction
 ) -> Result:
     """Commit a transaction, and retry until its outcome is known.
--- a/wisteriawood/links/runners.py
+++ b/wisteriawood/links/runners.py
@@ -8,21 +8,21 @@
 from wisteriawood.jobs import tasks
 
 
-class StartAnswer(enum.StrEnum):
+class StartResult(enum.StrEnum):
     """Answer of a worker to a command to start a run."""
 
     STARTED = "started"
     FENCED = "fenced"
     OLD_RUN = "old-run"
     TOO_LATE = "too-late"
-    NO_ROOM = "no-room"
+    NO_CAPACITY = "no-room"
     NO_TICKET = "no-ticket"
     UNHEALTHY = "unhealthy"
     REFUSED = "refused"
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class StartOrder:
+class StartRunCommand:
     """A command to start a run.
 
     Attributes:
@@ -90,14 +90,14 @@
     """Runs of a worker, as the worker reports them.
 
     Attributes:
-        born_unix_ms: Start time of this instance of the worker process.
+        started_unix_ms: Start time of this instance of the worker process.
         clock_ms: Time on the worker's clock.
         active: Runs that are present on the worker.
         ended: Ends that have not been acknowledged, in order of their
             number.
     """
 
-    born_unix_ms: int
+    started_unix_ms: int
     clock_ms: int
     active: list[ActiveRun]
     ended: list[EndedRun]
@@ -118,7 +118,7 @@
     then have been executed, or may still be executed later.
     """
 
-    async def start(self, order: StartOrder) -> StartAnswer:
+    async def start(self, order: StartRunCommand) -> StartResult:
         """Start a run."""
 
     async def stop(self, task_name: str, run: int, token: int) -> None:
@@ -180,7 +180,7 @@
         accelerators: Number of accelerators.
         is_draining: Whether the worker is about to be removed.
         remaining_ms: Minimum time until a draining worker is removed.
-        born_unix_ms: Start time of this instance of the worker process;
+        started_unix_ms: Start time of this instance of the worker process;
             0 if unknown.
     """
 
@@ -195,4 +195,4 @@
     accelerators: int = 0
     is_draining: bool = False
     remaining_ms: int = 0
-    born_unix_ms: int = 0
+    started_unix_ms: int = 0
--- a/wisteriawood/links/stores.py
+++ b/wisteriawood/links/stores.py
@@ -15,7 +15,7 @@
 MAX_RESEND_DELAY_S = 0.5
 # Rows in the conditions and writes of one transaction; the platform's limit
 # is 100.
-MAX_ENTRIES = 90
+MAX_TRANSACTION_ROWS = 90
 # How long a change is retried for a caller with a deadline while no attempt
 # can have taken effect.
 UNSENT_RETRY_TIMEOUT_S = 0.3
@@ -146,7 +146,7 @@
     )
 
 
-async def commit_settled(
+async def commit_with_retry(
     store: Store, change: Change, *, give_up_at_s: float | None = None
 ) -> int:
     """Commit a change, and retry until its outcome is known.
--- a/wisteriawood/machines/announcements.py
+++ b/wisteriawood/machines/announcements.py
@@ -67,7 +67,9 @@
 
     def max_request_s(self) -> float:
         """Return the longest time that a request may take, in seconds."""
-        return min(self._members.own.longest_s, self._members.announced_s)
+        return min(
+            self._members.own.longest_s, self._members.announced_longest_s
+        )
 
     async def allow(self, left_s: float) -> float:
         """Return the time that a request about to be sent may take.
@@ -119,4 +121,4 @@
                 needed_s = max(needed_s, step)
         if needed_s != self._members.own.longest_s:
             self._members.own.longest_s = needed_s
-            self._members.renew_soon()
+            self._members.request_renewal()
--- a/wisteriawood/machines/cancellations.py
+++ b/wisteriawood/machines/cancellations.py
@@ -101,7 +101,7 @@
             task_id = _task_id(row)
             worker = here.get(task_id)
             if worker is not None:
-                worker.order_cancel(task_id)
+                worker.request_cancel(task_id)
             elif claims.is_preferred(self._scheduler.membership, task_id):
                 left.append(row)
         return left
--- a/wisteriawood/machines/entry_hosts.py
+++ b/wisteriawood/machines/entry_hosts.py
@@ -23,8 +23,8 @@
 from wisteriawood.telemetry import events
 from wisteriawood.telemetry import metrics
 from wisteriawood.telemetry import spans
+from wisteriawood.zones import configuration_followers
 from wisteriawood.zones import drains
-from wisteriawood.zones import followers
 from wisteriawood.zones import membership
 from wisteriawood.zones import peering
 
@@ -126,7 +126,7 @@
             dial_peer=dial_peer,
             addresses=peer_addresses,
         )
-        self.configuration = followers.Follower(
+        self.configuration = configuration_followers.Follower(
             platform=platform, links=self.peering
         )
         self.drains = drains.Drains(
--- a/wisteriawood/machines/evictions.py
+++ b/wisteriawood/machines/evictions.py
@@ -209,7 +209,7 @@
         """
         for victim in plan.victims:
             self._ordered_at_s[victim.spec.id] = now_s
-            plan.entry.worker.order_eviction(victim.spec.id, reason)
+            plan.entry.worker.request_eviction(victim.spec.id, reason)
             _LOG.log(events.ROOM_MADE, task=victim.spec.id, reason=reason)
 
     def evict_one(
--- a/wisteriawood/machines/grantors.py
+++ b/wisteriawood/machines/grantors.py
@@ -137,7 +137,7 @@
         Does nothing until the members have been read after the rack was
         claimed.
         """
-        if not self._members.watched_since(ledger.claimed_s):
+        if not self._members.scanned_since(ledger.claimed_s):
             return
         until_s = (
             now_s
--- a/wisteriawood/machines/intakes.py
+++ b/wisteriawood/machines/intakes.py
@@ -147,7 +147,7 @@
                 },
             )
             try:
-                await stores.commit_settled(
+                await stores.commit_with_retry(
                     self._host.store, change, give_up_at_s=give_up_at_s
                 )
             except stores.ChangeConflictError as exc:
@@ -181,7 +181,7 @@
             expected={at: 0}, writes={at: codec.job_to_bytes(job)}
         )
         try:
-            version = await stores.commit_settled(
+            version = await stores.commit_with_retry(
                 self._host.store, change, give_up_at_s=give_up_at_s
             )
             self._refused.append((anyio.current_time(), at, version))
@@ -327,7 +327,7 @@
         outcome = "refused"
         try:
             with _map_store_errors():
-                await stores.commit_settled(
+                await stores.commit_with_retry(
                     self._host.store, change, give_up_at_s=give_up_at_s
                 )
             outcome = "accepted"
--- a/wisteriawood/machines/quarantines.py
+++ b/wisteriawood/machines/quarantines.py
@@ -92,7 +92,7 @@
             now_s: Monotonic time in seconds.
         """
         for incarnation, found in list(self._open.items()):
-            if self._members.watched_since(found.ended_s):
+            if self._members.scanned_since(found.ended_s):
                 self._read_row(found)
             if now_s > found.until_s() and not self._members.lists(
                 found.member
--- a/wisteriawood/machines/schedulers.py
+++ b/wisteriawood/machines/schedulers.py
@@ -31,8 +31,8 @@
 from wisteriawood.telemetry import events
 from wisteriawood.telemetry import metrics
 from wisteriawood.telemetry import spans
+from wisteriawood.zones import configuration_followers
 from wisteriawood.zones import drains
-from wisteriawood.zones import followers
 from wisteriawood.zones import membership
 from wisteriawood.zones import peering
 
@@ -103,7 +103,7 @@
         self.peering = peering.Peering(
             members=self.membership, machine=self, dial_peer=dial_peer
         )
-        self.configuration = followers.Follower(
+        self.configuration = configuration_followers.Follower(
             platform=platform, links=self.peering
         )
         self.drains = drains.Drains(
@@ -305,7 +305,7 @@
         """
         hello = await channel.receive()
         if hello.topic == messages.Topic.PEER:
-            return await self.peering.welcome(hello, channel)
+            return await self.peering.serve_after_hello(hello, channel)
         await self.grantor.serve(hello, channel)
 
     def _waiting_reasons(self) -> dict[str, str]:
--- a/wisteriawood/machines/slot_clients.py
+++ b/wisteriawood/machines/slot_clients.py
@@ -387,7 +387,7 @@
         Only rows read after the grantor's last answer count. Older rows do
         not rule out that the grantor has held its term without a break.
         """
-        if not self._members.watched_since(rack.renewed_s):
+        if not self._members.scanned_since(rack.renewed_s):
             return False
         key = (holdings.Role.SCHEDULER, rack.grantor.name)
         observed = self._members.observed_members.get(key)
@@ -400,7 +400,7 @@
             return observed.member.peer_address == address
         if observed.member.state == holdings.HostState.GONE:
             return True
-        return observed.is_expired(now_s=self._members.watched_at_s)
+        return observed.is_expired(now_s=self._members.scan_sent_at_s)
 
     async def _check_holding(self, rack: held_racks.HeldRack) -> None:
         """Read from the table whether the grantor still holds the rack."""
--- a/wisteriawood/machines/workers.py
+++ b/wisteriawood/machines/workers.py
@@ -174,7 +174,7 @@
         self.leaving = leaving
         if leaving:
             for task in self.placements:
-                self.order_eviction(task, "its worker is leaving")
+                self.request_eviction(task, "its worker is leaving")
 
     def set_capacity(self, capacity: resources.Resources) -> None:
         """Update the capacity from the worker's own report."""
@@ -206,7 +206,7 @@
             self.free = self.free + placement.allocated
         return placement
 
-    def order_eviction(self, task: str, reason: str) -> bool:
+    def request_eviction(self, task: str, reason: str) -> bool:
         """Order the eviction of a task.
 
         The coroutine that serves this worker writes a checkpoint, stops the
@@ -229,7 +229,7 @@
             self.wake()
         return True
 
-    def order_cancel(self, task: str) -> None:
+    def request_cancel(self, task: str) -> None:
         """Order the cancellation of a task.
 
         Args:
--- a/wisteriawood/platform/directory.py
+++ b/wisteriawood/platform/directory.py
@@ -103,7 +103,7 @@
         accelerators=entry.capacity.gpus,
         is_draining=entry.state == "draining",
         remaining_ms=int(entry.remaining_ms),
-        born_unix_ms=entry.born,
+        started_unix_ms=entry.born,
     )
 
 
--- a/wisteriawood/platform/standins.py
+++ b/wisteriawood/platform/standins.py
@@ -27,10 +27,10 @@
 END_POLL_PERIOD_S = 0.02
 
 _REFUSAL_REASONS = {
-    runners.StartAnswer.FENCED: "fence",
-    runners.StartAnswer.OLD_RUN: "old",
-    runners.StartAnswer.TOO_LATE: "late",
-    runners.StartAnswer.NO_ROOM: "room",
+    runners.StartResult.FENCED: "fence",
+    runners.StartResult.OLD_RUN: "old",
+    runners.StartResult.TOO_LATE: "late",
+    runners.StartResult.NO_CAPACITY: "room",
 }
 
 
@@ -82,7 +82,7 @@
     return fields | {"value": base64.b64encode(row.value).decode()}
 
 
-class WireStore:
+class StoreApp:
     """ASGI application that serves the store's HTTP API to one host.
 
     Args:
@@ -222,7 +222,7 @@
         }
 
 
-class WireWorker:
+class WorkerApp:
     """ASGI application that serves a worker's HTTP API.
 
     Args:
@@ -268,7 +268,10 @@
         worker.renew(body.get("deadline_ms", 0))
         worker.report(body["last_seen"])
         waited_ms = 0.0
-        while waited_ms < body.get("wait_ms", 0) and not worker.has_ends():
+        while (
+            waited_ms < body.get("wait_ms", 0)
+            and not worker.has_unacknowledged_ends()
+        ):
             await anyio.sleep(END_POLL_PERIOD_S)
             waited_ms += END_POLL_PERIOD_S * 1000
 
@@ -290,7 +293,7 @@
         worker.renew(body.get("deadline_ms", 0))
         report = worker.report(body["last_seen"])
         return {
-            "born": report.born_unix_ms,
+            "born": report.started_unix_ms,
             "active": [
                 [r.task_name, r.run, r.checkpoint, r.percent, r.signal]
                 for r in report.active
@@ -302,7 +305,7 @@
         }
 
     def _start(self, body: dict) -> dict:
-        order = runners.StartOrder(
+        order = runners.StartRunCommand(
             task_name=body["task"],
             run=body["run"],
             payload=body["task_spec"],
--- a/wisteriawood/platform/worker_client.py
+++ b/wisteriawood/platform/worker_client.py
@@ -17,11 +17,11 @@
 MAX_CONNECTIONS = 4
 
 _REFUSALS = {
-    "fence": runners.StartAnswer.FENCED,
-    "old": runners.StartAnswer.OLD_RUN,
-    "late": runners.StartAnswer.TOO_LATE,
-    "room": runners.StartAnswer.NO_ROOM,
-    "ticket": runners.StartAnswer.NO_TICKET,
+    "fence": runners.StartResult.FENCED,
+    "old": runners.StartResult.OLD_RUN,
+    "late": runners.StartResult.TOO_LATE,
+    "room": runners.StartResult.NO_CAPACITY,
+    "ticket": runners.StartResult.NO_TICKET,
 }
 
 
@@ -111,7 +111,9 @@
             f"the worker answered {response.status_code}"
         )
 
-    async def start(self, order: runners.StartOrder) -> runners.StartAnswer:
+    async def start(
+        self, order: runners.StartRunCommand
+    ) -> runners.StartResult:
         """Start a run."""
         body = {
             "task": order.task_name,
@@ -126,11 +128,11 @@
             body["ticket"] = order.ticket
         response = await self._call("/v1/run-start", body)
         if response.status_code == 200:
-            return runners.StartAnswer.STARTED
+            return runners.StartResult.STARTED
         if response.status_code in (429, 503):
-            return runners.StartAnswer.UNHEALTHY
+            return runners.StartResult.UNHEALTHY
         return _REFUSALS.get(
-            _refusal_reason(response), runners.StartAnswer.REFUSED
+            _refusal_reason(response), runners.StartResult.REFUSED
         )
 
     async def stop(self, task_name: str, run: int, token: int) -> None:
@@ -199,7 +201,7 @@
 def _decode_report(data: bytes) -> runners.RunReport:
     report = msgspec.json.decode(data, type=_Report)
     return runners.RunReport(
-        born_unix_ms=report.born or 1,
+        started_unix_ms=report.born or 1,
         clock_ms=report.clock_ms,
         active=[
             runners.ActiveRun(
--- a/wisteriawood/soak/checks.py
+++ b/wisteriawood/soak/checks.py
@@ -106,7 +106,7 @@
         self.breaches.append(f"{self.now_s():.2f} s {rule}: {what}")
 
     def check_start(
-        self, worker: "WatchedWorker", order: runners.StartOrder
+        self, worker: "WatchedWorker", order: runners.StartRunCommand
     ) -> None:
         """Check a run that starts.
 
@@ -277,7 +277,7 @@
         self._record_expiry()
         super().renew(lease_until_ms)
 
-    def begin_run(self, order: runners.StartOrder) -> runners.StartAnswer:
+    def begin_run(self, order: runners.StartRunCommand) -> runners.StartResult:
         """Start a run and have the checker check it."""
         self._record_expiry()
         before = len(self.starts)
--- a/wisteriawood/soak/faults.py
+++ b/wisteriawood/soak/faults.py
@@ -174,7 +174,7 @@
     world: "worlds.SoakWorld", rng: random.Random
 ) -> None:
     del rng
-    world.memory_store.forget_history()
+    world.memory_store.compact_history()
 
 
 @FAULTS.register("new-configuration")
--- a/wisteriawood/soak/worlds.py
+++ b/wisteriawood/soak/worlds.py
@@ -113,7 +113,7 @@
             target_ms=2000,
         )
         self.memory_store = stores.MemoryStore()
-        self.stores: dict[str, standins.WireStore] = {}
+        self.stores: dict[str, standins.StoreApp] = {}
         self.store_links: dict[str, proxies.Proxy] = {}
         self.worker_links: dict[str, dict[str, proxies.Proxy]] = {}
         self.workers = self.checker.workers
@@ -194,7 +194,7 @@
             work_s=lambda task: self._work_s.get(task.partition(".")[0], 1.0),
         )
         self.workers[name] = worker
-        wire = standins.WireWorker(worker=worker, worker_id=name)
+        wire = standins.WorkerApp(worker=worker, worker_id=name)
         self._serve(servers, wire, port)
         group.start_soon(worker.run)
 
@@ -212,9 +212,7 @@
             link = await self._add_link(group, port)
             self.worker_links[name][worker_id] = link
             addresses[worker_id] = f"{proxies.HOST}:{link.port}"
-        store = standins.WireStore(
-            store=self.memory_store, addresses=addresses
-        )
+        store = standins.StoreApp(store=self.memory_store, addresses=addresses)
         store_port = _free_port(self._ports)
         self._serve(servers, store, store_port)
         self.stores[name] = store
--- a/wisteriawood/standins/processes.py
+++ b/wisteriawood/standins/processes.py
@@ -60,7 +60,7 @@
         self.scope.cancel()
 
 
-class GuardedLink:
+class FaultyLink:
     """Calls from one process to another, subject to injected faults.
 
     Args:
@@ -76,8 +76,8 @@
         "_inner",
         "_peer",
         "_process",
-        "_unknown",
-        "_unsent",
+        "_make_unknown_error",
+        "_make_not_run_error",
         "_world",
     )
 
@@ -95,8 +95,8 @@
         self._process = process
         self._peer = peer
         self._inner = inner
-        self._unsent = unsent
-        self._unknown = unknown
+        self._make_not_run_error = unsent
+        self._make_unknown_error = unknown
 
     def __getattr__(self, name: str) -> typing.Any:
         call = getattr(self._inner, name)
@@ -108,17 +108,17 @@
         name = self._process.name
         world.calls.append((name, self._peer, call.__name__))
         if world.is_dead(self._peer):
-            raise self._unsent("refused")
+            raise self._make_not_run_error("refused")
         if world.is_cut(name, self._peer):
             await anyio.sleep(CALL_TIMEOUT_S)
-            raise self._unknown("no answer")
+            raise self._make_unknown_error("no answer")
         if world.delay_s(name, self._peer):
             call = functools.partial(self._call_with_delay, call)
         result = await call(*args, **kwargs)
         await anyio.sleep(world.delay_s(self._peer, name))
         if world.is_cut(self._peer, name):
             await anyio.sleep(CALL_TIMEOUT_S)
-            raise self._unknown("no answer")
+            raise self._make_unknown_error("no answer")
         await self._process.thawed.wait()
         return result
 
@@ -132,7 +132,7 @@
         with anyio.move_on_after(CALL_TIMEOUT_S):
             await delayed.done.wait()
         if not delayed.done.is_set():
-            raise self._unknown("no answer")
+            raise self._make_unknown_error("no answer")
         if delayed.error is not None:
             raise delayed.error
         return delayed.result
@@ -175,7 +175,7 @@
         self.done.set()
 
 
-class GuardedChannel:
+class FaultyChannel:
     """One end of a peer link, subject to injected faults.
 
     Args:
--- a/wisteriawood/standins/runners.py
+++ b/wisteriawood/standins/runners.py
@@ -30,7 +30,7 @@
     def __init__(
         self,
         *,
-        order: runners.StartOrder,
+        order: runners.StartRunCommand,
         work_s: float,
         outcome: tasks.Outcome,
     ):
@@ -51,7 +51,7 @@
             number; all runs succeed if None.
 
     Attributes:
-        born_unix_ms: Start time of this instance of the worker process.
+        started_unix_ms: Start time of this instance of the worker process.
         cut_from: Hosts whose calls do not reach the worker.
         ends: All ends of runs, as (task name, run number, outcome, time in
             seconds).
@@ -77,7 +77,7 @@
         "_refused_up_to",
         "_started_at_s",
         "_work_s",
-        "born_unix_ms",
+        "started_unix_ms",
         "cut_from",
         "ends",
         "is_dead",
@@ -106,7 +106,7 @@
         self.lost_answer_delay_s = 0.0
         self.cut_from: set[str] = set()
         self.is_dead = False
-        self.born_unix_ms = 1000
+        self.started_unix_ms = 1000
         self.tail_latencies_ms: dict[str, float] = {}
         self._deferred: list[tuple[float, typing.Callable]] = []
         self._start_instance()
@@ -132,7 +132,7 @@
     def restart(self) -> None:
         """Start a new instance of the worker process under the same id."""
         self.is_dead = False
-        self.born_unix_ms += 1000
+        self.started_unix_ms += 1000
         self._start_instance()
 
     async def run(self) -> None:
@@ -195,20 +195,20 @@
             raise runners.FencedError("fenced")
         self.token = token
 
-    def begin_run(self, order: runners.StartOrder) -> runners.StartAnswer:
+    def begin_run(self, order: runners.StartRunCommand) -> runners.StartResult:
         """Start a run, unless the command is fenced, late or outdated."""
         try:
             self.check_token(order.token)
         except runners.FencedError:
-            return runners.StartAnswer.FENCED
+            return runners.StartResult.FENCED
         if order.lease_until_ms < self.clock_ms():
-            return runners.StartAnswer.TOO_LATE
+            return runners.StartResult.TOO_LATE
         self._lease_until_ms = max(self._lease_until_ms, order.lease_until_ms)
         held = self.runs.get(order.task_name)
         if held is not None and held.order.run == order.run:
-            return runners.StartAnswer.STARTED
+            return runners.StartResult.STARTED
         if order.run <= self._refused_up_to.get(order.task_name, 0):
-            return runners.StartAnswer.OLD_RUN
+            return runners.StartResult.OLD_RUN
         outcome = tasks.Outcome.DONE
         if self._outcome_of is not None:
             outcome = self._outcome_of(order.task_name, order.run)
@@ -219,7 +219,7 @@
         )
         now_s = anyio.current_time()
         self.starts.append((order.task_name, order.run, now_s))
-        return runners.StartAnswer.STARTED
+        return runners.StartResult.STARTED
 
     def stop_run(self, name: str, number: int) -> None:
         """Stop a run and refuse starts of runs up to its number."""
@@ -238,7 +238,7 @@
         """
         self._ends = [e for e in self._ends if e.number > acknowledged]
         return runners.RunReport(
-            born_unix_ms=self.born_unix_ms,
+            started_unix_ms=self.started_unix_ms,
             clock_ms=self.clock_ms(),
             active=[
                 runners.ActiveRun(
@@ -260,7 +260,7 @@
         """
         self._lease_until_ms = max(self._lease_until_ms, lease_until_ms)
 
-    def has_ends(self) -> bool:
+    def has_unacknowledged_ends(self) -> bool:
         """Return whether ends of runs are not yet acknowledged."""
         return bool(self._ends)
 
@@ -301,7 +301,9 @@
             await anyio.sleep(CALL_TIMEOUT_S)
             raise errors.LinkClosedError("no answer")
 
-    async def start(self, order: runners.StartOrder) -> runners.StartAnswer:
+    async def start(
+        self, order: runners.StartRunCommand
+    ) -> runners.StartResult:
         """Start a run."""
         is_lost = await self._apply_call_faults()
         if is_lost:
@@ -347,7 +349,9 @@
         worker.renew(lease_until_ms)
         worker.report(acknowledged)
         waited_s = 0.0
-        while waited_s < wait_ms / 1000 and not worker.has_ends():
+        while (
+            waited_s < wait_ms / 1000 and not worker.has_unacknowledged_ends()
+        ):
             await anyio.sleep(TICK_S)
             waited_s += TICK_S
         await self._apply_answer_faults(False)
--- a/wisteriawood/standins/stores.py
+++ b/wisteriawood/standins/stores.py
@@ -98,7 +98,7 @@
         touched = {at.table for at in change.writes}
         return not self.lost_table or self.lost_table in touched
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Delete the history of changes, as a compaction does."""
         self._history.clear()
         self._compacted_version = self.version
--- a/wisteriawood/standins/workers.py
+++ b/wisteriawood/standins/workers.py
@@ -275,7 +275,7 @@
             found.record.is_told = True
             self._end(found, workers.AttemptState.STOPPED)
 
-    def lose_all(self) -> None:
+    def forget_attempts(self) -> None:
         """End and forget all attempts, as a restart of the process does."""
         for attempt in self.attempts.values():
             if attempt.state == workers.AttemptState.RUNNING:
--- a/wisteriawood/standins/worlds.py
+++ b/wisteriawood/standins/worlds.py
@@ -119,7 +119,7 @@
     def kill_worker(self, address: str) -> None:
         """Kill a worker and all its attempts."""
         self.processes[address].kill()
-        self.workers[address].lose_all()
+        self.workers[address].forget_attempts()
 
     async def _serve_target(self, attempt: workers.Attempt) -> None:
         address = f"{attempt.spec.id}.{attempt.number}:1"
@@ -140,7 +140,7 @@
         return target
 
     def _platform_for(self, process: processes.Process) -> typing.Any:
-        return processes.GuardedLink(
+        return processes.FaultyLink(
             world=self,
             process=process,
             peer=processes.PLATFORM,
@@ -152,7 +152,7 @@
     def _dial_worker(
         self, process: processes.Process, *, address: str
     ) -> typing.Any:
-        return processes.GuardedLink(
+        return processes.FaultyLink(
             world=self,
             process=process,
             peer=address,
@@ -164,7 +164,7 @@
     def _dial_target(
         self, process: processes.Process, *, address: str, connections: int
     ) -> typing.Any:
-        return processes.GuardedLink(
+        return processes.FaultyLink(
             world=self,
             process=process,
             peer=address,
@@ -178,7 +178,7 @@
     @contextlib.asynccontextmanager
     async def _dial_peer(
         self, process: processes.Process, *, address: str
-    ) -> typing.AsyncIterator[processes.GuardedChannel]:
+    ) -> typing.AsyncIterator[processes.FaultyChannel]:
         await process.thawed.wait()
         server, handler = self._handlers[address]
         if not server.is_alive:
@@ -191,7 +191,7 @@
             self._serve_peer, server, process.name, handler, far
         )
         try:
-            yield processes.GuardedChannel(
+            yield processes.FaultyChannel(
                 world=self, process=process, peer=server.name, inner=near
             )
         finally:
@@ -204,19 +204,21 @@
         handler: typing.Any,
         inner: channels.MemoryChannel,
     ) -> None:
-        channel = processes.GuardedChannel(
+        channel = processes.FaultyChannel(
             world=self, process=server, peer=client, inner=inner
         )
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._end_with, server, group.cancel_scope)
+                group.start_soon(
+                    self._cancel_when_killed, server, group.cancel_scope
+                )
                 with contextlib.suppress(errors.LinkError):
                     await handler(channel)
                 group.cancel_scope.cancel()
         finally:
             await inner.aclose()
 
-    async def _end_with(
+    async def _cancel_when_killed(
         self, process: processes.Process, scope: anyio.CancelScope
     ) -> None:
         while process.is_alive:
--- a/wisteriawood/telemetry/job_events.py
+++ b/wisteriawood/telemetry/job_events.py
@@ -67,13 +67,13 @@
     "The row of a claim can't be decoded.",
     "Run the same version on all hosts.",
 )
-BEAT_UNREADABLE = events.define(
+HEARTBEAT_UNREADABLE = events.define(
     2108,
     "beat-unreadable",
     "The row of a heartbeat can't be decoded.",
     "Run the same version on all hosts.",
 )
-BEAT_FAILED = events.define(
+HEARTBEAT_FAILED = events.define(
     2109,
     "beat-failed",
     "A heartbeat could not be written.",
@@ -162,12 +162,12 @@
     "A latency-sensitive task is moved so that waiting fillers can use its "
     "worker.",
 )
-KNOWLEDGE_NOT_SHARED = events.define(
+WEIGHTS_NOT_SHARED = events.define(
     2221,
     "knowledge-not-shared",
     "A cell could not exchange its interference weights with other cells.",
 )
-KNOWLEDGE_UNREADABLE = events.define(
+WEIGHTS_UNREADABLE = events.define(
     2222,
     "knowledge-unreadable",
     "The interference weights of another cell can't be decoded; they are "
--- a/wisteriawood/tests/builders.py
+++ b/wisteriawood/tests/builders.py
@@ -305,7 +305,7 @@
     return allocator.queue.add(task, version=1, now_s=now_s)
 
 
-def place_on(worker, spec, *, allocated=None):
+def add_placement(worker, spec, *, allocated=None):
     """Add a running task to a worker and return its placement."""
     placement = workers.Placement(
         task=tasks.Task(
@@ -357,7 +357,7 @@
         token=1,
         lease=leases.Lease(length_s=6.0, lapsed_at_s=0.0),
     )
-    worker.born_unix_ms = 1
+    worker.started_unix_ms = 1
     worker.answered_at_s = now_s
     return worker
 
--- a/wisteriawood/tests/faults/config_tests.py
+++ b/wisteriawood/tests/faults/config_tests.py
@@ -12,7 +12,7 @@
 from wisteriawood.links import platforms
 from wisteriawood.policies import registry
 from wisteriawood.tests import builders
-from wisteriawood.zones import followers
+from wisteriawood.zones import configuration_followers
 
 NAMES = ("linz-a-1", "linz-a-2", "wien-b-1", "wien-b-2")
 CUT = "linz-a-1"
@@ -325,7 +325,7 @@
             "polled",
             "answers lost",
             f"{CUT} has 1",
-            target=followers.Follower,
+            target=configuration_followers.Follower,
             attribute="apply_changes",
             new=_apply_polled_changes_only,
         )
@@ -335,7 +335,7 @@
             "applied",
             "old messages replayed",
             f"{CUT} reverted to version 1",
-            target=followers.Follower,
+            target=configuration_followers.Follower,
             attribute="_apply_snapshot",
             new=_apply_any_snapshot,
         )
@@ -346,7 +346,7 @@
             "another operator",
             "two operators received version 2",
             target=configurations.platforms,
-            attribute="commit_settled",
+            attribute="commit_with_retry",
             new=_commit_unconditionally,
         )
 
@@ -356,13 +356,13 @@
             "answers lost",
             "a change is in force, but was not acknowledged",
             target=configurations.platforms,
-            attribute="commit_settled",
+            attribute="commit_with_retry",
             new=_commit_with_new_id,
         )
 
 
-_APPLY_CHANGES = followers.Follower.apply_changes
-_APPLY_SNAPSHOT = followers.Follower._apply_snapshot
+_APPLY_CHANGES = configuration_followers.Follower.apply_changes
+_APPLY_SNAPSHOT = configuration_followers.Follower._apply_snapshot
 
 
 def _apply_polled_changes_only(self, changes):
--- a/wisteriawood/tests/faults/orders_tests.py
+++ b/wisteriawood/tests/faults/orders_tests.py
@@ -53,7 +53,7 @@
         for scheduler in self.world.schedulers.values():
             for rack in scheduler.racks.values():
                 for worker in rack.workers.values():
-                    worker.order_eviction(f"task-{number}", "an order")
+                    worker.request_eviction(f"task-{number}", "an order")
 
     async def replace_scheduler(self, number):
         """Kill a scheduler and start another."""
@@ -71,7 +71,7 @@
 
     async def restart_worker(self, number):
         """Let a worker lose all that it runs."""
-        self.world.workers[f"worker-{number}:1"].lose_all()
+        self.world.workers[f"worker-{number}:1"].forget_attempts()
 
     async def toggle_platform(self, _number):
         """Take the platform down, or bring it back."""
@@ -99,7 +99,7 @@
         await anyio.sleep(0.3)
     await happening.mend()
     with anyio.move_on_after(tasks_tests.END_MAX_S):
-        while invariants.find_unended(world, happening.task_ids):
+        while invariants.find_unfinished_tasks(world, happening.task_ids):
             await anyio.sleep(1)
     await anyio.sleep(10)
     return [
@@ -108,7 +108,7 @@
             task_ids=happening.task_ids,
             cancelled=happening.cancelled,
         ),
-        *invariants.find_unended(world, happening.task_ids),
+        *invariants.find_unfinished_tasks(world, happening.task_ids),
     ]
 
 
--- a/wisteriawood/tests/faults/proofs_tests.py
+++ b/wisteriawood/tests/faults/proofs_tests.py
@@ -133,7 +133,7 @@
         )
         for rack in canceller._scheduler.racks.values():
             for worker in rack.workers.values():
-                worker.order_cancel(task_id)
+                worker.request_cancel(task_id)
     return []
 
 
@@ -225,7 +225,7 @@
             "20 acknowledgements lost",
             "submitted",
             mock.patch.object(
-                platforms, "commit_settled", _commit_without_settling
+                platforms, "commit_with_retry", _commit_without_settling
             ),
             run_s=10.0,
             breach="has not ended",
--- a/wisteriawood/tests/faults/recovery_tests.py
+++ b/wisteriawood/tests/faults/recovery_tests.py
@@ -233,7 +233,7 @@
             )
             answer = await entry.serve(request)
             self.assertEqual("ran", answer.outcome)
-            self.assertEqual(ANNOUNCED_S, entry.membership.announced_s)
+            self.assertEqual(ANNOUNCED_S, entry.membership.announced_longest_s)
 
         self.run_world(_check)
 
--- a/wisteriawood/tests/faults/request_worlds.py
+++ b/wisteriawood/tests/faults/request_worlds.py
@@ -255,7 +255,7 @@
             process, address=address, connections=connections
         )
         if self.uses_http:
-            inner = processes.GuardedLink(
+            inner = processes.FaultyLink(
                 world=self,
                 process=process,
                 peer=address,
@@ -301,7 +301,9 @@
         wait_s = request.deadline_s - anyio.current_time() + 1.0
         with anyio.move_on_after(wait_s):
             async with anyio.create_task_group() as group:
-                group.start_soon(self._end_with, process, group.cancel_scope)
+                group.start_soon(
+                    self._cancel_when_killed, process, group.cancel_scope
+                )
                 await process.thawed.wait()
                 if process.is_alive:
                     await self._serve(entry, request, reply)
--- a/wisteriawood/tests/faults/soak_tests.py
+++ b/wisteriawood/tests/faults/soak_tests.py
@@ -75,7 +75,7 @@
 
     def _start(self, checker, worker, index=0, step=0, run=1, payload="p"):
         return checker.workers[worker].begin_run(
-            runners.StartOrder(
+            runners.StartRunCommand(
                 task_name=f"{JOB}.0.{step}.{index}",
                 run=run,
                 payload=payload,
--- a/wisteriawood/tests/faults/task_faults.py
+++ b/wisteriawood/tests/faults/task_faults.py
@@ -138,7 +138,7 @@
         if "throttle" in self.orders:
             worker.order_throttle(SUBJECT, 0.5)
         if "evict" in self.orders:
-            worker.order_eviction(SUBJECT, "the test wants it")
+            worker.request_eviction(SUBJECT, "the test wants it")
 
 
 # Steps: each tells whether the subject has reached it.
@@ -337,7 +337,7 @@
 @FAULTS.register("worker lost all it ran")
 async def _worker_restarted(cell):
     cell.is_worker_silent = True
-    cell.world.workers[cell.address()].lose_all()
+    cell.world.workers[cell.address()].forget_attempts()
 
 
 @FAULTS.register("worker frozen 40 s")
--- a/wisteriawood/tests/faults/tasks_tests.py
+++ b/wisteriawood/tests/faults/tasks_tests.py
@@ -58,16 +58,16 @@
         return [f"the step {step} was not reached"]
     await task_faults.FAULTS.get(fault)(cell)
     with anyio.move_on_after(END_MAX_S):
-        while invariants.find_unended(world, cell.task_ids):
+        while invariants.find_unfinished_tasks(world, cell.task_ids):
             await anyio.sleep(1)
     await anyio.sleep(20)
-    repeats = invariants.find_repeats(world)
+    repeats = invariants.find_tasks_finished_twice(world)
     return [
         *([] if cell.is_worker_silent else repeats),
         *invariants.find_all(
             world, task_ids=cell.task_ids, cancelled=cell.cancelled
         ),
-        *invariants.find_unended(world, cell.task_ids),
+        *invariants.find_unfinished_tasks(world, cell.task_ids),
     ]
 
 
--- a/wisteriawood/tests/feeds_tests.py
+++ b/wisteriawood/tests/feeds_tests.py
@@ -73,10 +73,10 @@
             store.is_stale = True
             store.hidden_keys.add("new")
             write("new", b"2")
-            memory.forget_history()
+            memory.compact_history()
             memory._changed.set()
             write("other", b"3")
-            memory.forget_history()
+            memory.compact_history()
             await anyio.sleep(2.5)
             store.is_stale = False
             await anyio.sleep(feeds.AUDIT_DELAYS_S[-1])
@@ -94,9 +94,9 @@
             await anyio.sleep(0.5)
             self.assertIsNone(received["gone"])
             memory.rows[_at("gone")] = row
-            memory.forget_history()
+            memory.compact_history()
             write("other", b"3")
-            memory.forget_history()
+            memory.compact_history()
             await anyio.sleep(feeds.AUDIT_DELAYS_S[0] + 2)
             self.assertIsNone(received["gone"])
 
@@ -106,7 +106,7 @@
         async def _check(memory, _store, write, received):
             write("old", None)
             write("other", b"3")
-            memory.forget_history()
+            memory.compact_history()
             await anyio.sleep(feeds.AUDIT_DELAYS_S[-1] + 3)
             self.assertIsNone(received["old"])
             self.assertEqual(received["other"], b"3")
--- a/wisteriawood/tests/interference_tests.py
+++ b/wisteriawood/tests/interference_tests.py
@@ -150,7 +150,7 @@
         for number, cores in enumerate((4.0, 8.0, 52.0)):
             needs = builders.make_resources(cores=cores)
             spec = builders.make_spec(id=f"t-{number}", needs=needs)
-            builders.place_on(worker, spec)
+            builders.add_placement(worker, spec)
         allocator = builders.make_allocator([worker])
         urgent = builders.make_spec(
             id="u", urgent=True, needs=builders.make_resources(cores=8.0)
@@ -166,7 +166,7 @@
         (worker,) = builders.make_workers(1)
         needs = builders.make_resources(cores=64.0)
         kept = builders.make_spec(id="k", needs=needs, task_class="bundle")
-        builders.place_on(worker, kept)
+        builders.add_placement(worker, kept)
         quota = quotas.Quota(team=kept.team, not_evicted=frozenset({"bundle"}))
         allocator = builders.make_allocator(
             [worker], team_quotas=quotas.Quotas(quotas={kept.team: quota})
@@ -185,7 +185,7 @@
         needs = builders.make_resources(cores=16.0)
         job = builders.make_spec(id="j", needs=needs, task_class="noisy")
         for spec in (service, job):
-            builders.place_on(worker, spec)
+            builders.add_placement(worker, spec)
         monitor = monitors.Monitor(allocator=builders.make_allocator([worker]))
         for now_s in range(seconds):
             if latency:
@@ -205,7 +205,7 @@
 
     def test_throttling_ends_when_services_leave(self):
         (worker,) = builders.make_workers(1)
-        placement = builders.place_on(worker, builders.make_spec())
+        placement = builders.add_placement(worker, builders.make_spec())
         placement.throttle = 0.25
         monitor = monitors.Monitor(allocator=builders.make_allocator([worker]))
         monitor.observe(worker, [], now_s=1.0)
--- a/wisteriawood/tests/invariants.py
+++ b/wisteriawood/tests/invariants.py
@@ -120,7 +120,7 @@
     return found
 
 
-def find_unended(world, task_ids):
+def find_unfinished_tasks(world, task_ids):
     """Return tasks without an ended state in the table."""
     found = []
     for task_id in task_ids:
@@ -146,7 +146,7 @@
     return found
 
 
-def find_repeats(world):
+def find_tasks_finished_twice(world):
     """Return ids of tasks with more than one finished attempt."""
     finished = [
         record.task
--- a/wisteriawood/tests/operators_tests.py
+++ b/wisteriawood/tests/operators_tests.py
@@ -74,7 +74,7 @@
             await jobs.submit(platform, [builders.make_spec()], zone="linz-a")
             task = await jobs.find(platform, "task-1")
             with mock.patch.object(operators, "ask_waiting_reason", _answer):
-                return await explain._ask_why(platform, task)
+                return await explain._ask_schedulers(platform, task)
 
         return anyio.run(_main)
 
--- a/wisteriawood/tests/placement_tests.py
+++ b/wisteriawood/tests/placement_tests.py
@@ -42,7 +42,7 @@
                 )
                 spec = builders.make_spec(id=f"t-{number}", needs=needs)
                 if needs.fits(worker.free):
-                    builders.place_on(worker, spec)
+                    builders.add_placement(worker, spec)
             worker.leaving = rng.random() < 0.05
             index.refresh(workers)
             wanted = builders.make_resources(
@@ -62,14 +62,14 @@
         index = indexes.WorkerIndex(rng=random.Random(1))
         index.refresh([worker])
         needs = builders.make_resources(cores=40.0)
-        builders.place_on(worker, builders.make_spec(needs=needs))
+        builders.add_placement(worker, builders.make_spec(needs=needs))
         self.assertEqual([], index.sample(needs, 4))
 
     def test_team_share_follows_tasks_and_workers(self):
         workers = builders.make_workers(2)
         index = indexes.WorkerIndex(rng=random.Random(1))
         needs = builders.make_resources(cores=32.0)
-        builders.place_on(workers[0], builders.make_spec(needs=needs))
+        builders.add_placement(workers[0], builders.make_spec(needs=needs))
         index.refresh(workers)
         self.assertEqual(0.25, index.team_share("vitrinenklima"))
         index.refresh(workers[:1])
@@ -134,7 +134,7 @@
 
     def test_noisy_job_is_placed_apart_from_services(self):
         workers = builders.make_workers(2)
-        builders.place_on(workers[0], _service(1, task_class="shop"))
+        builders.add_placement(workers[0], _service(1, task_class="shop"))
         allocator = builders.make_allocator(workers)
         noisy = interference.Neighbour(name="kroupa/noisy", load=0.125)
         for now_s in range(30):
@@ -155,7 +155,7 @@
 
     def test_harmful_job_waits_then_starts_throttled(self):
         (worker,) = builders.make_workers(1)
-        builders.place_on(worker, _service(1, task_class="shop"))
+        builders.add_placement(worker, _service(1, task_class="shop"))
         allocator = builders.make_allocator([worker])
         noisy = interference.Neighbour(name="kroupa/noisy", load=0.25)
         for now_s in range(30):
@@ -240,7 +240,7 @@
         specs = [builders.make_spec(id=f"t-{number}") for number in range(5)]
         watcher = builders.make_spec(id="w", kind=tasks.TaskKind.WATCHER)
         for spec in (watcher, *specs):
-            builders.place_on(worker, spec)
+            builders.add_placement(worker, spec)
         for now_s in (10.0, 11.0, 12.0):
             reports = [
                 builders.make_usage(spec, used=used, measured_s=now_s)
--- a/wisteriawood/tests/platform_tests.py
+++ b/wisteriawood/tests/platform_tests.py
@@ -34,7 +34,7 @@
 
 
 def _make_store_and_client():
-    wire = standins.WireStore(store=store_standins.MemoryStore())
+    wire = standins.StoreApp(store=store_standins.MemoryStore())
     client = store_client.TableStore(
         address="store:80", transport=httpx.ASGITransport(wire)
     )
@@ -89,7 +89,7 @@
         async def _check():
             wire, client = _make_store_and_client()
             await client.commit(stores.Change(writes={AT: b"1"}))
-            wire._store.forget_history()
+            wire._store.compact_history()
             with self.assertRaises(stores.HistoryLostError):
                 await client.feed("t", 0, 0.1)
 
@@ -115,7 +115,7 @@
         worker = run_standins.MemoryWorker(
             registration=found, work_s=lambda _name: 1.0
         )
-        wire = standins.WireWorker(worker=worker, worker_id="w")
+        wire = standins.WorkerApp(worker=worker, worker_id="w")
         client = worker_client.WorkerClient(
             registration=found, transport=httpx.ASGITransport(wire)
         )
@@ -129,7 +129,7 @@
             "lease_until_ms": 5000,
             "token": 7,
         }
-        return runners.StartOrder(**(defaults | fields))
+        return runners.StartRunCommand(**(defaults | fields))
 
     async def _renew(self, client, **fields):
         defaults = {
@@ -144,14 +144,14 @@
         async def _check():
             worker, client = self._make_worker_and_client()
             started = await client.start(self._start_order())
-            self.assertIs(started, runners.StartAnswer.STARTED)
+            self.assertIs(started, runners.StartResult.STARTED)
             await client.pace("j.0.0.0", 1, 40, 7)
             report = await self._renew(client)
             self.assertEqual(report.active[0].percent, 40)
             await client.stop("j.0.0.0", 1, 7)
             report = await self._renew(client)
             self.assertIs(report.ended[0].outcome, tasks.Outcome.STOPPED)
-            self.assertEqual(report.born_unix_ms, worker.born_unix_ms)
+            self.assertEqual(report.started_unix_ms, worker.started_unix_ms)
             report = await self._renew(client, acknowledged=1)
             self.assertEqual(report.ended, [])
 
@@ -161,12 +161,12 @@
         async def _check():
             _worker, client = self._make_worker_and_client()
             answer = await client.start(self._start_order(lease_until_ms=0))
-            self.assertIs(answer, runners.StartAnswer.TOO_LATE)
+            self.assertIs(answer, runners.StartResult.TOO_LATE)
             await client.stop("j.0.0.0", 1, 7)
             answer = await client.start(self._start_order())
-            self.assertIs(answer, runners.StartAnswer.OLD_RUN)
+            self.assertIs(answer, runners.StartResult.OLD_RUN)
             answer = await client.start(self._start_order(token=1))
-            self.assertIs(answer, runners.StartAnswer.FENCED)
+            self.assertIs(answer, runners.StartResult.FENCED)
             with self.assertRaises(runners.FencedError):
                 await self._renew(client, token=1)
             with self.assertRaises(runners.FencedError):
--- a/wisteriawood/tests/queues_tests.py
+++ b/wisteriawood/tests/queues_tests.py
@@ -81,7 +81,7 @@
         for worker in builders.make_workers(1):
             allocator.refresh([worker], now_s=0.0)
             needs = builders.make_resources(cores=56.0)
-            builders.place_on(
+            builders.add_placement(
                 worker, builders.make_spec(id="filling", needs=needs)
             )
         builders.enqueue(allocator, _eight_cores("low"), now_s=0.0)
@@ -126,7 +126,7 @@
     def test_large_jobs_reserve_few_workers(self):
         workers = builders.make_workers(10)
         for worker in workers:
-            builders.place_on(worker, _eight_cores(f"old-{worker.name}"))
+            builders.add_placement(worker, _eight_cores(f"old-{worker.name}"))
         allocator = builders.make_allocator(workers)
         for number in range(10):
             needs = builders.make_resources(cores=64.0)
@@ -147,7 +147,7 @@
     def test_borrowed_share_is_reclaimed(self):
         workers = builders.make_workers(2)
         for number in range(16):
-            builders.place_on(
+            builders.add_placement(
                 workers[number % 2],
                 _eight_cores(f"b-{number}", team="borrower"),
             )
--- a/wisteriawood/zones/claims.py
+++ b/wisteriawood/zones/claims.py
@@ -187,7 +187,7 @@
         conditions=[condition, *claim.conditions],
         writes=[platforms.Write(key=key, value=rows.to_value(holding))],
     )
-    result = await platforms.commit_settled(platform, transaction)
+    result = await platforms.commit_with_retry(platform, transaction)
     if not result.committed:
         return None
     rack = racks.Rack(
--- a/wisteriawood/zones/membership.py
+++ b/wisteriawood/zones/membership.py
@@ -22,7 +22,7 @@
 SCAN_PERIOD_S = 1.0
 # Longest gap between two scans; after a longer one, the age of every row is
 # counted from zero again.
-WATCH_GAP_S = 3.0
+MAX_SCAN_GAP_S = 3.0
 
 _LOG = events.Logger(name=__name__)
 
@@ -68,7 +68,7 @@
         "_scanned_at_s",
         "_version",
         "_was_held",
-        "announced_s",
+        "announced_longest_s",
         "changed",
         "dead",
         "own",
@@ -76,7 +76,7 @@
         "observed_members",
         "superseded",
         "term",
-        "watched_at_s",
+        "scan_sent_at_s",
     )
 
     def __init__(
@@ -95,9 +95,9 @@
         ] = {}
         # Time at which the last complete scan was sent; _scanned_at_s is the
         # time of its answer.
-        self.watched_at_s = -math.inf
+        self.scan_sent_at_s = -math.inf
         # Longest request time that the stored row is known to announce.
-        self.announced_s = 0.0
+        self.announced_longest_s = 0.0
         # Incarnations whose hosts refuse connections.
         self.dead: set[str] = set()
         self.changed = anyio.Event()
@@ -113,13 +113,13 @@
         """Whether the last call to the platform was answered."""
         return self._reachable
 
-    def watched_since(self, time_s: float) -> bool:
+    def scanned_since(self, time_s: float) -> bool:
         """Return whether the last read of all members began after a time.
 
         Args:
             time_s: Monotonic time in seconds.
         """
-        return self.watched_at_s > time_s
+        return self.scan_sent_at_s > time_s
 
     def lists(self, member: holdings.MemberRow) -> bool:
         """Return whether the table has a row of this process.
@@ -161,7 +161,7 @@
         """Renew the own row and read the others until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._renew_periodically)
-            group.start_soon(self._watch_periodically)
+            group.start_soon(self._scan_periodically)
 
     async def _renew_periodically(self) -> None:
         while not self.superseded.is_set():
@@ -179,11 +179,11 @@
             _LOG.log(events.TERM_LOST, reason="not confirmed in time")
         self._was_held = is_held
 
-    def renew_soon(self) -> None:
+    def request_renewal(self) -> None:
         """Have the own row written at once because it has changed."""
         self._renewal_due.set()
 
-    async def _watch_periodically(self) -> None:
+    async def _scan_periodically(self) -> None:
         while True:
             await self._track_reachability(self.watch)
             await anyio.sleep(SCAN_PERIOD_S)
@@ -216,14 +216,16 @@
         self.own.renewals += 1
         self.own.renewed_unix_s = time.time()
         sent_at_s = anyio.current_time()
-        announced_s = self.own.longest_s
+        announced_longest_s = self.own.longest_s
         # Even if no answer comes, the write may have taken effect.
-        self.announced_s = min(self.announced_s, announced_s)
+        self.announced_longest_s = min(
+            self.announced_longest_s, announced_longest_s
+        )
         transaction = platforms.Transaction(
             conditions=[platforms.Condition(key=key, version=self._version)],
             writes=[platforms.Write(key=key, value=rows.to_value(self.own))],
         )
-        result = await platforms.commit_settled(self._platform, transaction)
+        result = await platforms.commit_with_retry(self._platform, transaction)
         if not result.committed:
             # A newer process of this host has written the row.
             self.term.end()
@@ -234,7 +236,7 @@
         self.term.confirm(
             sent_at_s=sent_at_s, confirmed_at_s=anyio.current_time()
         )
-        self.announced_s = announced_s
+        self.announced_longest_s = announced_longest_s
         self.renewed.set()
         self.renewed = anyio.Event()
 
@@ -259,7 +261,7 @@
         """
         sent_at_s = anyio.current_time()
         found = await platforms.scan_all(self._platform, keys.members())
-        self.watched_at_s = sent_at_s
+        self.scan_sent_at_s = sent_at_s
         now_s = anyio.current_time()
         self._handle_scan_gap(now_s)
         seen = set()
@@ -277,7 +279,7 @@
         # either. Count the age of every row again from now, so that each
         # member has a full term to renew it.
         before_s = self._scanned_at_s
-        if before_s is not None and now_s - before_s > WATCH_GAP_S:
+        if before_s is not None and now_s - before_s > MAX_SCAN_GAP_S:
             for observed in self.observed_members.values():
                 observed.first_seen_s = now_s
         self._scanned_at_s = now_s
--- a/wisteriawood/zones/peering.py
+++ b/wisteriawood/zones/peering.py
@@ -280,9 +280,9 @@
         Raises:
             LinkError: The peer sent no Hello message in time.
         """
-        await self.welcome(await _receive_hello(channel), channel)
+        await self.serve_after_hello(await _receive_hello(channel), channel)
 
-    async def welcome(
+    async def serve_after_hello(
         self, hello: messages.Hello, channel: channels.Channel
     ) -> None:
         """Serve a link whose Hello message has been received.
