--- a/wisteriawood/bench/colocations.py
+++ b/wisteriawood/bench/colocations.py
@@ -160,7 +160,7 @@
             eviction=eviction,
             team_quotas=quotas.Quotas(quotas={site.team: site.quota}),
             estimates=self._true_slowdowns if is_oracle else None,
-            learned=None if is_learning else DeclaredSizes(),
+            size_estimator=None if is_learning else DeclaredSizes(),
         )
         self.monitor = monitors.Monitor(
             allocator=self.allocator, throttling=throttling
--- a/wisteriawood/bench/configuration.py
+++ b/wisteriawood/bench/configuration.py
@@ -145,7 +145,7 @@
         await anyio.sleep(CHANGE_PERIOD_S)
         for name in isolated:
             if case.is_isolated_late:
-                world.mend(f"entry/{name}", "platform")
+                world.heal(f"entry/{name}", "platform")
         await anyio.sleep(SETTLE_S if case.is_isolated_late else 0.0)
     return accepted_s
 
--- a/wisteriawood/bench/relay.py
+++ b/wisteriawood/bench/relay.py
@@ -86,7 +86,7 @@
     await load.run(callers_at_once=CALLERS, seconds=ROUND_S)
     await load.aclose()
     p50_ms, p99_ms = load.quantiles_ms(0.5, 0.99)
-    completed = sum(1 for call in load.seen if call.is_own)
+    completed = sum(1 for call in load.sent if call.is_echo)
     return LoadSample(per_s=completed / ROUND_S, p50_ms=p50_ms, p99_ms=p99_ms)
 
 
@@ -149,7 +149,7 @@
             f"target_url={target_url!r}, address={address!r}))",
         )
         await anyio.sleep(2.0)
-        entry = cluster.pairs[f"{ZONE}-1"].caller_address
+        entry = cluster.entry_hosts[f"{ZONE}-1"].caller_address
         entry_samples: list[LoadSample] = []
         relay_samples: list[LoadSample] = []
         for _round in range(ROUNDS):
--- a/wisteriawood/bench/slots.py
+++ b/wisteriawood/bench/slots.py
@@ -87,7 +87,7 @@
     members = membership.Membership(platform=platform, own=own)
     await entry.membership.renew()
     await members.renew()
-    await members.watch()
+    await members.scan()
     grantor = grantors.Grantor(
         members=members,
         held={"rack-1": _make_rack(size)},
--- a/wisteriawood/cells/cells.py
+++ b/wisteriawood/cells/cells.py
@@ -130,7 +130,7 @@
         self.jobs[job.id] = job
         self.last_job_at_s = anyio.current_time()
         if not job.is_ended() and job.open_due_occurrences(time.time() * 1000):
-            self.counters.ready.inc()
+            self.counters.jobs_opened.inc()
         self.update_waiting(job)
 
     def update_waiting(self, job: jobs.Job) -> None:
--- a/wisteriawood/cells/holders.py
+++ b/wisteriawood/cells/holders.py
@@ -127,7 +127,7 @@
                     table=tables.specs_table(
                         tables.zone_of_cell(self.cell.name)
                     ),
-                    take=self._process_submissions,
+                    on_rows=self._process_submissions,
                     after=after,
                 )
                 group.start_soon(feed.run)
--- a/wisteriawood/cells/members.py
+++ b/wisteriawood/cells/members.py
@@ -110,12 +110,12 @@
         self.by_name: dict[str, Member] = {}
         self.claims: dict[str, claims.Claim] = {}
         self.claim_feed = feeds.Feed(
-            store=store, table=tables.CLAIMS, take=self._process_claims
+            store=store, table=tables.CLAIMS, on_rows=self._process_claims
         )
         self.heartbeat_feed = feeds.Feed(
             store=store,
             table=tables.HOSTS,
-            take=self._process_heartbeats,
+            on_rows=self._process_heartbeats,
             pause_s=lambda: HEARTBEAT_FEED_PAUSE_S,
         )
 
--- a/wisteriawood/commands/drain.py
+++ b/wisteriawood/commands/drain.py
@@ -36,10 +36,10 @@
         kind = drain_contracts.DrainKind(self.argument("kind"))
         name = self.argument("name")
         if self.option("undo"):
-            await drains.undo(platform, kind, name)
+            await drains.withdraw_drain(platform, kind, name)
             self.line(f"{kind} {name} is taken back into use")
             return 0
-        await drains.order(
+        await drains.request_drain(
             platform, kind, name, author=os.environ.get("USER", "")
         )
         self.line(
--- a/wisteriawood/config/configuration.py
+++ b/wisteriawood/config/configuration.py
@@ -212,7 +212,7 @@
         """Return a team, or None if the configuration does not have it."""
         return self.teams.get(name)
 
-    def knows(self, name: str) -> bool:
+    def has_team(self, name: str) -> bool:
         """Return whether a team is served.
 
         Before the first change, every team is served with defaults.
--- a/wisteriawood/links/drains.py
+++ b/wisteriawood/links/drains.py
@@ -19,7 +19,7 @@
     return await platform.read(key) is not None
 
 
-async def order(
+async def request_drain(
     platform: platforms.Platform,
     kind: drains.DrainKind,
     name: str,
@@ -48,7 +48,7 @@
     await _write(platform, kind, name, value)
 
 
-async def undo(
+async def withdraw_drain(
     platform: platforms.Platform, kind: drains.DrainKind, name: str
 ) -> None:
     """Withdraw the request to drain a host, if there is one.
--- a/wisteriawood/links/feeds.py
+++ b/wisteriawood/links/feeds.py
@@ -30,7 +30,7 @@
     Args:
         store: The store.
         table: The table.
-        take: Called with the rows that are newer than those received
+        on_rows: Called with the rows that are newer than those received
             before for the same keys; the first call gets the whole table.
         pause_s: Returns the seconds to pause between polls, so that
             changes accumulate; None polls without a pause.
@@ -62,12 +62,12 @@
         *,
         store: stores.Store,
         table: str,
-        take: typing.Callable[[list[stores.StoredRow]], None],
+        on_rows: typing.Callable[[list[stores.StoredRow]], None],
         pause_s: typing.Callable[[], float] | None = None,
         after: int | None = None,
     ):
         self._store = store
-        self._on_rows = take
+        self._on_rows = on_rows
         self._pause_s = pause_s
         self._after = after
         self._audits_at_s: list[float] = []
--- a/wisteriawood/links/runners.py
+++ b/wisteriawood/links/runners.py
@@ -118,7 +118,7 @@
     then have been executed, or may still be executed later.
     """
 
-    async def start(self, order: StartRunCommand) -> StartResult:
+    async def start(self, command: StartRunCommand) -> StartResult:
         """Start a run."""
 
     async def stop(self, task_name: str, run: int, token: int) -> None:
--- a/wisteriawood/machines/allocators.py
+++ b/wisteriawood/machines/allocators.py
@@ -91,7 +91,7 @@
         eviction: Name of the eviction policy.
         team_quotas: Quotas of the teams.
         estimates: Predicts slowdowns.
-        learned: Predicts the resource use of tasks from past reports.
+        size_estimator: Predicts the resource use of tasks from past reports.
     """
 
     __slots__ = (
@@ -117,7 +117,7 @@
         eviction: str = eviction_base.DEFAULT,
         team_quotas: quotas.Quotas | None = None,
         estimates: interference.Estimates | None = None,
-        learned: sizes.SizeEstimator | None = None,
+        size_estimator: sizes.SizeEstimator | None = None,
     ):
         registry.load_modules(placement_policies)
         registry.load_modules(eviction_policies)
@@ -125,8 +125,10 @@
         if estimates is None:
             estimates = interference.PairEstimates()
         self.estimates = estimates
-        self.sizes = sizes.SizeEstimator() if learned is None else learned
-        self.slow_starts = slow_starts.SlowStart(learned=self.sizes)
+        self.sizes = (
+            sizes.SizeEstimator() if size_estimator is None else size_estimator
+        )
+        self.slow_starts = slow_starts.SlowStart(size_estimator=self.sizes)
         self.index = indexes.WorkerIndex(rng=rng)
         self.queue = queues.PendingQueue()
         self.probations = probations.Probations()
--- a/wisteriawood/machines/cancellations.py
+++ b/wisteriawood/machines/cancellations.py
@@ -43,7 +43,7 @@
     async def run(self) -> None:
         """Process the requests periodically, until cancelled."""
         while True:
-            if self._scheduler.membership.is_confirmed():
+            if self._scheduler.membership.holds_term():
                 try:
                     await self.process_requests()
                 except errors.PlatformError:
--- a/wisteriawood/machines/entry_hosts.py
+++ b/wisteriawood/machines/entry_hosts.py
@@ -139,7 +139,7 @@
         """Return why the entry host is not ready; empty if it is."""
         if self.is_draining:
             return "draining"
-        if self.drains.is_ordered(self.membership.own.name):
+        if self.drains.is_requested(self.membership.own.name):
             return "draining: an operator has ordered it"
         if self.configuration.unready_reason():
             return self.configuration.unready_reason()
--- a/wisteriawood/machines/grantors.py
+++ b/wisteriawood/machines/grantors.py
@@ -176,10 +176,7 @@
         silent_s = now_s - holder.updated_s
         if silent_s > terms.HORIZON_S + terms.DRIFT_MARGIN_S:
             return True
-        if (
-            silent_s <= RECLAIM_SLOTS_AFTER_S
-            or not self._members.is_confirmed()
-        ):
+        if silent_s <= RECLAIM_SLOTS_AFTER_S or not self._members.holds_term():
             return False
         since_s = self._members.term.unbroken_since_s()
         # If the term was interrupted since, the entry host may have read
@@ -336,8 +333,8 @@
             return []
         # The next holder of the rack finds in the member table which entry
         # hosts it must ask, so only listed ones get more slots.
-        is_listed = self._members.lists(holder.member)
-        may_grant = is_listed and self._members.is_confirmed()
+        is_listed = self._members.has_row_of(holder.member)
+        may_grant = is_listed and self._members.holds_term()
         changed = []
         for target in rack.targets.values():
             # No earlier holder can have granted slots of a target that was
--- a/wisteriawood/machines/intakes.py
+++ b/wisteriawood/machines/intakes.py
@@ -51,7 +51,7 @@
             collections.deque()
         )
         registry.load_modules(admission)
-        self._policy = base.POLICIES.get(policy)()
+        self._policy = base.ADMISSION.get(policy)()
 
     def find_queue(self, host_name: str, path: str) -> queues.Queue:
         """Return the queue that a request addresses.
--- a/wisteriawood/machines/job_hosts.py
+++ b/wisteriawood/machines/job_hosts.py
@@ -102,7 +102,7 @@
         self._lease_s = lease_s
         self._retention_s = retention_s
         registry.load_modules(spreading)
-        self._policy = spreading_base.POLICIES.get(policy)()
+        self._policy = spreading_base.SPREADING.get(policy)()
         self.counters = job_metrics.JobMetrics()
         self.members = members.Members(
             store=store,
--- a/wisteriawood/machines/placers.py
+++ b/wisteriawood/machines/placers.py
@@ -208,7 +208,7 @@
 
     async def _follow_queue(self) -> None:
         while True:
-            if self._scheduler.membership.is_confirmed():
+            if self._scheduler.membership.holds_term():
                 try:
                     await self._read_queue()
                 except errors.PlatformError:
@@ -261,7 +261,7 @@
                 await self._queue_changed.wait()
             self._queue_changed = anyio.Event()
             now_s = anyio.current_time()
-            if not self._scheduler.membership.is_confirmed():
+            if not self._scheduler.membership.holds_term():
                 continue
             self.allocator.refresh(self._all_workers(), now_s=now_s)
             for start in self.allocator.place(now_s=now_s):
--- a/wisteriawood/machines/quarantines.py
+++ b/wisteriawood/machines/quarantines.py
@@ -94,7 +94,7 @@
         for incarnation, found in list(self._open.items()):
             if self._members.scanned_since(found.ended_s):
                 self._read_row(found)
-            if now_s > found.until_s() and not self._members.lists(
+            if now_s > found.until_s() and not self._members.has_row_of(
                 found.member
             ):
                 del self._open[incarnation]
--- a/wisteriawood/machines/rack_managers.py
+++ b/wisteriawood/machines/rack_managers.py
@@ -77,7 +77,7 @@
 
     async def _check_racks_forever(self) -> None:
         while True:
-            if self._scheduler.membership.is_confirmed():
+            if self._scheduler.membership.holds_term():
                 try:
                     await self._check_racks()
                 except errors.PlatformError:
@@ -200,7 +200,7 @@
                     rack, host.name, host.address, host.capacity
                 )
             worker.set_leaving(
-                host.leaving or self._scheduler.drains.is_ordered(host.name)
+                host.leaving or self._scheduler.drains.is_requested(host.name)
             )
         for rack in self._scheduler.racks.values():
             rack.remove_missing_workers(listed)
@@ -210,12 +210,12 @@
         while True:
             racks_by_former: dict[str, list[racks.Rack]] = {}
             for rack in self._scheduler.racks.values():
-                if rack.former is not None:
-                    incarnation = rack.former.incarnation
+                if rack.former_holder is not None:
+                    incarnation = rack.former_holder.incarnation
                     held = racks_by_former.setdefault(incarnation, [])
                     held.append(rack)
             for held in racks_by_former.values():
-                if await self._is_dead(held[0].former):
+                if await self._is_dead(held[0].former_holder):
                     for rack in held:
                         rack.mark_former_dead()
                         _LOG.log(
@@ -229,7 +229,7 @@
         )
         if observed and observed.member.incarnation != former.incarnation:
             return True
-        return await probes.is_refused(self._dial_peer, former)
+        return await probes.refuses_connections(self._dial_peer, former)
 
     async def release(self) -> None:
         """Release the racks, recording how long their leases may last."""
--- a/wisteriawood/machines/racks.py
+++ b/wisteriawood/machines/racks.py
@@ -16,12 +16,12 @@
     Args:
         holding: The row by which it is held.
         version: Version of that row.
-        former: Member row of the previous holder, unless that is proved
+        former_holder: Member row of the previous holder, unless that is proved
             dead: it may still renew the leases of attempts it started.
     """
 
     __slots__ = (
-        "former",
+        "former_holder",
         "former_leases_until_s",
         "former_renews_until_s",
         "holding",
@@ -37,11 +37,11 @@
         *,
         holding: holdings.RackHolding,
         version: int,
-        former: holdings.MemberRow | None = None,
+        former_holder: holdings.MemberRow | None = None,
     ):
         self.holding = holding
         self.version = version
-        self.former = former
+        self.former_holder = former_holder
         # Monotonic time until which leases granted by former holders may
         # last.
         self.former_leases_until_s = 0.0
@@ -61,7 +61,7 @@
 
         Only its commands in flight can still renew leases.
         """
-        self.former = None
+        self.former_holder = None
         self.former_renews_until_s = min(
             self.former_renews_until_s,
             anyio.current_time()
--- a/wisteriawood/machines/schedulers.py
+++ b/wisteriawood/machines/schedulers.py
@@ -142,7 +142,7 @@
             return "draining"
         if self.configuration.unready_reason():
             return self.configuration.unready_reason()
-        if not self.membership.is_confirmed():
+        if not self.membership.holds_term():
             return "the term is not held: the platform has not confirmed it"
         return ""
 
@@ -161,7 +161,7 @@
         """
         return (
             not self.stopping.is_set()
-            and self.membership.is_confirmed()
+            and self.membership.holds_term()
             and rack.verified_term_start_s is not None
             and rack.verified_term_start_s
             == self.membership.term.unbroken_since_s()
--- a/wisteriawood/machines/slow_starts.py
+++ b/wisteriawood/machines/slow_starts.py
@@ -14,14 +14,14 @@
     """Limits the tasks of unknown classes that run without a usage report.
 
     Args:
-        learned: Resource use learned so far, by class.
+        size_estimator: Resource use learned so far, by class.
     """
 
     __slots__ = ("_sizes", "_unmeasured")
 
-    def __init__(self, *, learned: sizes.SizeEstimator):
+    def __init__(self, *, size_estimator: sizes.SizeEstimator):
         self._unmeasured: dict[str, dict[str, float]] = {}
-        self._sizes = learned
+        self._sizes = size_estimator
 
     def may_start(self, spec: tasks.TaskSpec, *, now_s: float) -> bool:
         """Return whether one more task of a class may start.
--- a/wisteriawood/machines/transitions.py
+++ b/wisteriawood/machines/transitions.py
@@ -127,7 +127,7 @@
         **fields: New values of fields of the task.
     """
     task = dataclasses.replace(placement.task, **fields)
-    placement.changed = task
+    placement.new_task = task
     placement.is_ending = False
     key = _placed_key(scheduler, rack, placement)
     writes = [platforms.Write(key=key, value=rows.to_value(task))]
@@ -153,7 +153,7 @@
     task = dataclasses.replace(
         placement.task, rack="", worker="", worker_address="", **fields
     )
-    placement.changed = task
+    placement.new_task = task
     placement.is_ending = True
     old_key = _placed_key(scheduler, rack, placement)
     new_key = keys.pending(scheduler.zone, task.spec.id)
@@ -182,7 +182,7 @@
     task = dataclasses.replace(
         placement.task, ended_unix_s=time.time(), **fields
     )
-    placement.changed = task
+    placement.new_task = task
     placement.is_ending = True
     old_key = _placed_key(scheduler, rack, placement)
     writes = _move_writes(old_key, keys.ended(task.spec.id), task)
@@ -285,7 +285,7 @@
     elif change.error is None:
         _apply_change(rack, worker, placement, change.version)
     placement.change = None
-    placement.changed = None
+    placement.new_task = None
 
 
 def _apply_change(
@@ -295,7 +295,7 @@
     version: int,
 ) -> None:
     before = placement.task
-    task = placement.changed
+    task = placement.new_task
     placement.task = task
     placement.version = version
     if placement.is_ending:
--- a/wisteriawood/machines/workers.py
+++ b/wisteriawood/machines/workers.py
@@ -35,7 +35,7 @@
         is_started: Whether the worker accepted the start command.
         refusals: Number of start commands that the worker refused.
         change: State change that waits for its commit, if any.
-        changed: The task as it will be after that commit.
+        new_task: The task as it will be after that commit.
         is_ending: Whether that change removes the task from the worker.
         traceparent: W3C trace context of the assignment.
     """
@@ -55,7 +55,7 @@
     is_started: bool = False
     refusals: int = 0
     change: commits.Change | None = None
-    changed: tasks.Task | None = None
+    new_task: tasks.Task | None = None
     is_ending: bool = False
     traceparent: str = ""
 
--- a/wisteriawood/platform/__main__.py
+++ b/wisteriawood/platform/__main__.py
@@ -184,7 +184,7 @@
                 feed = feeds.Feed(
                     store=self._store,
                     table=table,
-                    take=process_rows,
+                    on_rows=process_rows,
                     pause_s=pause_s,
                 )
                 if table == directory.WORKER_TABLE:
--- a/wisteriawood/platform/standins.py
+++ b/wisteriawood/platform/standins.py
@@ -285,7 +285,7 @@
             return {}
         if path == "/v1/pace":
             run = worker.runs.get(body["task"])
-            if run is not None and run.order.run == body["run"]:
+            if run is not None and run.command.run == body["run"]:
                 run.percent = body["percent"]
             return {}
         if path != "/v1/hold":
@@ -305,7 +305,7 @@
         }
 
     def _start(self, body: dict) -> dict:
-        order = runners.StartRunCommand(
+        command = runners.StartRunCommand(
             task_name=body["task"],
             run=body["run"],
             payload=body["task_spec"],
@@ -313,7 +313,7 @@
             token=body["fencing_token"],
             checkpoint=body.get("checkpoint", ""),
         )
-        answer = self._worker.begin_run(order)
+        answer = self._worker.begin_run(command)
         if answer in _REFUSAL_REASONS:
             raise StatusError(
                 status=409, body={"reason": _REFUSAL_REASONS[answer]}
--- a/wisteriawood/platform/worker_client.py
+++ b/wisteriawood/platform/worker_client.py
@@ -112,20 +112,20 @@
         )
 
     async def start(
-        self, order: runners.StartRunCommand
+        self, command: runners.StartRunCommand
     ) -> runners.StartResult:
         """Start a run."""
         body = {
-            "task": order.task_name,
-            "run": order.run,
-            "task_spec": order.payload,
-            "deadline_ms": order.lease_until_ms,
-            "fencing_token": order.token,
+            "task": command.task_name,
+            "run": command.run,
+            "task_spec": command.payload,
+            "deadline_ms": command.lease_until_ms,
+            "fencing_token": command.token,
         }
-        if order.checkpoint:
-            body["checkpoint"] = order.checkpoint
-        if order.ticket:
-            body["ticket"] = order.ticket
+        if command.checkpoint:
+            body["checkpoint"] = command.checkpoint
+        if command.ticket:
+            body["ticket"] = command.ticket
         response = await self._call("/v1/run-start", body)
         if response.status_code == 200:
             return runners.StartResult.STARTED
--- a/wisteriawood/policies/admission/always.py
+++ b/wisteriawood/policies/admission/always.py
@@ -4,7 +4,7 @@
 from wisteriawood.policies.admission import base
 
 
-@base.POLICIES.register("always")
+@base.ADMISSION.register("always")
 class Always:
     """Accepts every job; under overload, jobs end late."""
 
--- a/wisteriawood/policies/admission/base.py
+++ b/wisteriawood/policies/admission/base.py
@@ -53,6 +53,6 @@
         """
 
 
-POLICIES: registry.Registry[type[AdmissionPolicy]] = registry.Registry(
+ADMISSION: registry.Registry[type[AdmissionPolicy]] = registry.Registry(
     kind="admission policy"
 )
--- a/wisteriawood/policies/admission/in_time.py
+++ b/wisteriawood/policies/admission/in_time.py
@@ -19,7 +19,7 @@
 RETRY_SPREAD_S = 2.0
 
 
-@base.POLICIES.register(base.DEFAULT)
+@base.ADMISSION.register(base.DEFAULT)
 class InTime:
     """Refuses fillers that would be late, and reserves CPU for jobs that end.
 
--- a/wisteriawood/policies/spreading/base.py
+++ b/wisteriawood/policies/spreading/base.py
@@ -28,6 +28,6 @@
         """
 
 
-POLICIES: registry.Registry[type[SpreadingPolicy]] = registry.Registry(
+SPREADING: registry.Registry[type[SpreadingPolicy]] = registry.Registry(
     kind="spreading policy"
 )
--- a/wisteriawood/policies/spreading/first_fit.py
+++ b/wisteriawood/policies/spreading/first_fit.py
@@ -6,7 +6,7 @@
 from wisteriawood.policies.spreading import base
 
 
-@base.POLICIES.register("first-fit")
+@base.SPREADING.register("first-fit")
 class FirstFit:
     """Chooses the worker with the lowest id."""
 
--- a/wisteriawood/policies/spreading/least_pressed.py
+++ b/wisteriawood/policies/spreading/least_pressed.py
@@ -18,7 +18,7 @@
 MAX_SPARE_LOAD = 0.3
 
 
-@base.POLICIES.register(base.DEFAULT)
+@base.SPREADING.register(base.DEFAULT)
 class LeastPressed:
     """Limits how much fillers slow latency-sensitive tasks.
 
--- a/wisteriawood/soak/checks.py
+++ b/wisteriawood/soak/checks.py
@@ -106,19 +106,19 @@
         self.breaches.append(f"{self.now_s():.2f} s {rule}: {what}")
 
     def check_start(
-        self, worker: "WatchedWorker", order: runners.StartRunCommand
+        self, worker: "WatchedWorker", command: runners.StartRunCommand
     ) -> None:
         """Check a run that starts.
 
         Args:
             worker: Worker on which it starts.
-            order: Command that starts it.
+            command: Command that starts it.
         """
         self.starts += 1
-        name = order.task_name
+        name = command.task_name
         newest = self._newest_runs.get(name, 0)
-        self._newest_runs[name] = max(newest, order.run)
-        where = f"{name} run {order.run} on {worker.registration.worker_id}"
+        self._newest_runs[name] = max(newest, command.run)
+        where = f"{name} run {command.run} on {worker.registration.worker_id}"
         sent = self.sent.get(name.partition(".")[0])
         if sent is None:
             self.record_breach("unasked", f"{where}: no caller sent the job")
@@ -128,7 +128,7 @@
             self.record_breach(
                 "refused", f"{where}: all attempts were refused"
             )
-        if order.payload != sent.spec.payload:
+        if command.payload != sent.spec.payload:
             self.record_breach("unasked", f"{where}: payload differs")
         if sent.cancelled_at_s:
             late_s = self.now_s() - sent.cancelled_at_s
@@ -277,20 +277,22 @@
         self._record_expiry()
         super().renew(lease_until_ms)
 
-    def begin_run(self, order: runners.StartRunCommand) -> runners.StartResult:
+    def begin_run(
+        self, command: runners.StartRunCommand
+    ) -> runners.StartResult:
         """Start a run and have the checker check it."""
         self._record_expiry()
         before = len(self.starts)
         held = set(self.runs)
-        answer = super().begin_run(order)
+        answer = super().begin_run(command)
         if len(self.starts) > before:
-            run = self.runs.pop(order.task_name)
-            if order.task_name in held:
+            run = self.runs.pop(command.task_name)
+            if command.task_name in held:
                 self._checker.record_breach(
-                    "twice", f"{order.task_name} restarted"
+                    "twice", f"{command.task_name} restarted"
                 )
-            self._checker.check_start(self, order)
-            self.runs[order.task_name] = run
+            self._checker.check_start(self, command)
+            self.runs[command.task_name] = run
         return answer
 
     def report(self, acknowledged: int) -> runners.RunReport:
--- a/wisteriawood/standins/checks.py
+++ b/wisteriawood/standins/checks.py
@@ -51,7 +51,7 @@
         breaches=[
             f"request {s.request_id} got another answer"
             for s in ran
-            if not s.is_own
+            if not s.is_echo
         ],
     )
 
--- a/wisteriawood/standins/clusters.py
+++ b/wisteriawood/standins/clusters.py
@@ -136,7 +136,7 @@
         "_workers_per_zone",
         "daemons",
         "folder",
-        "pairs",
+        "entry_hosts",
         "platform_url",
         "worker_addresses",
         "zones",
@@ -154,7 +154,7 @@
         self.folder = folder
         self.zones = zones
         self.daemons: dict[str, Daemon] = {}
-        self.pairs: dict[str, EntryHostAddresses] = {}
+        self.entry_hosts: dict[str, EntryHostAddresses] = {}
         self.worker_addresses: dict[str, str] = {}
         self.platform_url = ""
         self._hosts_per_zone = hosts_per_zone
@@ -248,7 +248,7 @@
     ) -> None:
         name = f"{zone}-{number}"
         pair = EntryHostAddresses(name=name, zone=zone, ports=ports)
-        self.pairs[name] = pair
+        self.entry_hosts[name] = pair
         await self.start_scheduler(name)
         await self.start_entry(name)
 
@@ -258,7 +258,7 @@
         Args:
             name: Name of the entry host.
         """
-        pair = self.pairs[name]
+        pair = self.entry_hosts[name]
         await self._start_daemon(
             "scheduler",
             pair,
@@ -275,7 +275,7 @@
         Args:
             name: Name of the entry host.
         """
-        pair = self.pairs[name]
+        pair = self.entry_hosts[name]
         await self._start_daemon(
             "entry",
             pair,
@@ -324,7 +324,7 @@
         Raises:
             LinkError: It was not ready within READY_TIMEOUT_S.
         """
-        address = self.pairs[name].entry_operator_address
+        address = self.entry_hosts[name].entry_operator_address
         await self._wait_for(f"http://{address}/readyz")
 
     def platform(self) -> platforms.HttpPlatform:
@@ -365,7 +365,7 @@
         """
         self.daemons[name].send_signal(signal.SIGSTOP)
 
-    def wake(self, name: str) -> None:
+    def thaw(self, name: str) -> None:
         """Resume a suspended process with SIGCONT.
 
         Args:
@@ -398,6 +398,6 @@
 
         async with anyio.create_task_group() as group:
             for name in names:
-                self.wake(name)
+                self.thaw(name)
                 group.start_soon(_stop, name)
         return sorted(unclean)
--- a/wisteriawood/standins/demos.py
+++ b/wisteriawood/standins/demos.py
@@ -101,15 +101,18 @@
         await self._configure()
         for zone in self._zones:
             await self._submit(zone, self._make_services(zone))
-        for name in self._cluster.pairs:
+        for name in self._cluster.entry_hosts:
             await self._cluster.wait_until_ready(name)
-        self._progress(f"{len(self._cluster.pairs)} entry hosts are ready")
+        self._progress(
+            f"{len(self._cluster.entry_hosts)} entry hosts are ready"
+        )
         for zone in self._zones:
             await self._submit(zone, self._make_jobs(zone))
         self._progress(f"submitted {len(self._specs)} tasks")
         self._load = loads.Load(
             addresses=[
-                pair.caller_address for pair in self._cluster.pairs.values()
+                pair.caller_address
+                for pair in self._cluster.entry_hosts.values()
             ],
             path=f"/{self._team}/{self._service}/check",
             rng=random.Random(self._seed),
@@ -145,13 +148,15 @@
 
     async def _inject_faults(self) -> None:
         await anyio.sleep(KILL_AFTER_S)
-        name = next(iter(self._cluster.pairs))
+        name = next(iter(self._cluster.entry_hosts))
         self._cluster.kill(f"entry/{name}")
         self._cluster.kill(f"scheduler/{name}")
         self._progress(f"killed entry host {name}")
         # A load balancer detects the failure with a delay.
         await anyio.sleep(1.0)
-        self._load.remove_address(self._cluster.pairs[name].caller_address)
+        self._load.remove_address(
+            self._cluster.entry_hosts[name].caller_address
+        )
         await anyio.sleep(OUTAGE_AFTER_S - KILL_AFTER_S - 1.0)
         await self._cluster.set_platform_faults(down=True)
         self._progress("the platform is down")
@@ -160,7 +165,7 @@
         self._progress("the platform is back")
 
     async def _finish(self) -> list[checks.CheckResult]:
-        self._progress(f"sent {len(self._load.seen)} requests")
+        self._progress(f"sent {len(self._load.sent)} requests")
         batch = await self._wait_for_jobs()
         self._progress("stopping the entry hosts while requests are sent")
         results = await self._check(batch)
@@ -187,14 +192,14 @@
         self, batch: list[tasks.Task]
     ) -> list[checks.CheckResult]:
         cluster = self._cluster
-        alive = [name for name in cluster.pairs][1:]
+        alive = [name for name in cluster.entry_hosts][1:]
         unclean: list[str] = []
 
         async def _stop() -> None:
             stopped = await cluster.stop_entry_hosts()
             unclean.extend(n for n in stopped if n.split("/")[1] in alive)
 
-        before = len(self._load.seen)
+        before = len(self._load.sent)
         async with anyio.create_task_group() as group:
             group.start_soon(
                 functools.partial(
@@ -203,10 +208,10 @@
             )
             group.start_soon(_stop)
         cut = [
-            s for s in self._load.seen[before:] if s.outcome == loads.NO_ANSWER
+            s for s in self._load.sent[before:] if s.outcome == loads.NO_ANSWER
         ]
         self._progress(
-            f"{len(self._load.seen) - before} more requests, {len(cut)} cut"
+            f"{len(self._load.sent) - before} more requests, {len(cut)} cut"
         )
         counts: list[targets.TargetCounts] = []
         records: dict[str, list[workers.RunRecord]] = {}
@@ -222,7 +227,7 @@
             )
         attempts = sum(len(found) for found in records.values())
         self._reruns = attempts - len(self._specs)
-        sent = self._load.seen
+        sent = self._load.sent
         capacity = resources.Resources(
             cores=clusters.WORKER_CORES,
             memory_bytes=clusters.WORKER_MEMORY_BYTES,
--- a/wisteriawood/standins/job_worlds.py
+++ b/wisteriawood/standins/job_worlds.py
@@ -34,13 +34,13 @@
     Attributes:
         work_s: Run time at full speed, in seconds, of the tasks of a job,
             by job id; DEFAULT_WORK_S for other jobs.
-        failing: Names of workers on which every run fails.
+        failing_workers: Names of workers on which every run fails.
     """
 
     __slots__ = (
         "_group",
         "_scopes",
-        "failing",
+        "failing_workers",
         "hosts",
         "queue",
         "store",
@@ -62,7 +62,7 @@
         self.zones = list(zones)
         self.store = stores.MemoryStore()
         self.work_s: dict[str, float] = {}
-        self.failing: set[str] = set()
+        self.failing_workers: set[str] = set()
         self.queue = queues.Queue(
             name="q", host_name="h", service=SERVICE, attempts=2, stretch=2.0
         )
@@ -95,7 +95,7 @@
             work_s=self._work_s,
             outcome_of=lambda _task, _run: (
                 tasks.Outcome.FAILED
-                if name in self.failing
+                if name in self.failing_workers
                 else tasks.Outcome.DONE
             ),
         )
--- a/wisteriawood/standins/loads.py
+++ b/wisteriawood/standins/loads.py
@@ -29,7 +29,7 @@
         key: Idempotency key; empty for a repeatable request.
         outcome: Outcome header of the answer, or NO_ANSWER.
         status: HTTP status; 0 if there was no answer.
-        is_own: Whether the body of the answer equals that of the request.
+        is_echo: Whether the body of the answer equals that of the request.
         latency_s: Time until the answer, in seconds.
     """
 
@@ -38,7 +38,7 @@
     key: str = ""
     outcome: str = NO_ANSWER
     status: int = 0
-    is_own: bool = False
+    is_echo: bool = False
     latency_s: float = 0.0
 
 
@@ -53,7 +53,7 @@
         pause_s: Mean pause of a caller between requests, in seconds.
 
     Attributes:
-        seen: Records of all requests.
+        sent: Records of all requests.
     """
 
     __slots__ = (
@@ -64,7 +64,7 @@
         "_pause_s",
         "_rng",
         "_run_once_share",
-        "seen",
+        "sent",
     )
 
     def __init__(
@@ -87,7 +87,7 @@
             trust_env=False,
             limits=httpx.Limits(max_connections=200),
         )
-        self.seen: list[RequestRecord] = []
+        self.sent: list[RequestRecord] = []
 
     def remove_address(self, address: str) -> None:
         """Stop sending requests to an entry host that is not ready.
@@ -129,7 +129,7 @@
             body: Body of the request; empty for a new unique one.
         """
         record = RequestRecord(body=body or uuid.uuid4().hex, key=key)
-        self.seen.append(record)
+        self.sent.append(record)
         headers = {callers.KEY_HEADER: key} if key else {}
         number = next(self._next) % len(self._addresses)
         started_s = anyio.current_time()
@@ -147,13 +147,13 @@
             callers.OUTCOME_HEADER, NO_ANSWER
         )
         record.request_id = response.headers.get(targets.REQUEST_ID_HEADER, "")
-        record.is_own = response.text == record.body
+        record.is_echo = response.text == record.body
         return record
 
     def outcomes(self) -> dict[str, int]:
         """Return the number of requests by outcome."""
         counts: dict[str, int] = {}
-        for record in self.seen:
+        for record in self.sent:
             counts[record.outcome] = counts.get(record.outcome, 0) + 1
         return counts
 
@@ -164,8 +164,8 @@
             *quantiles: Quantiles, 0 to 1.
         """
         sketch = ddsketch.DDSketch(RELATIVE_ACCURACY)
-        for record in self.seen:
-            if record.is_own:
+        for record in self.sent:
+            if record.is_echo:
                 sketch.add(1000 * record.latency_s)
         return [
             sketch.get_quantile_value(quantile) or 0.0
--- a/wisteriawood/standins/processes.py
+++ b/wisteriawood/standins/processes.py
@@ -50,7 +50,7 @@
         if self.thawed.is_set():
             self.thawed = anyio.Event()
 
-    def wake(self) -> None:
+    def thaw(self) -> None:
         """Resume it after a freeze, as SIGCONT does."""
         self.thawed.set()
 
@@ -68,8 +68,9 @@
         process: The calling process.
         peer: Name of the process that is called.
         inner: Object that executes the calls.
-        unsent: Makes the error for a call that had no effect.
-        unknown: Makes the error for a call that may have had an effect.
+        make_not_run_error: Makes the error for a call that had no effect.
+        make_unknown_error: Makes the error for a call that may have had an
+            effect.
     """
 
     __slots__ = (
@@ -88,15 +89,15 @@
         process: Process,
         peer: str,
         inner: typing.Any,
-        unsent: typing.Callable[[str], Exception],
-        unknown: typing.Callable[[str], Exception],
+        make_not_run_error: typing.Callable[[str], Exception],
+        make_unknown_error: typing.Callable[[str], Exception],
     ):
         self._world = world
         self._process = process
         self._peer = peer
         self._inner = inner
-        self._make_not_run_error = unsent
-        self._make_unknown_error = unknown
+        self._make_not_run_error = make_not_run_error
+        self._make_unknown_error = make_unknown_error
 
     def __getattr__(self, name: str) -> typing.Any:
         call = getattr(self._inner, name)
--- a/wisteriawood/standins/runners.py
+++ b/wisteriawood/standins/runners.py
@@ -17,7 +17,7 @@
     """A run on a simulated worker.
 
     Args:
-        order: Command that started the run.
+        command: Command that started the run.
         work_s: Remaining run time at full speed, in seconds.
         outcome: Outcome of the run once the work is done.
 
@@ -25,16 +25,16 @@
         percent: Speed of the run, as a percentage of full speed.
     """
 
-    __slots__ = ("order", "outcome", "percent", "work_s")
+    __slots__ = ("command", "outcome", "percent", "work_s")
 
     def __init__(
         self,
         *,
-        order: runners.StartRunCommand,
+        command: runners.StartRunCommand,
         work_s: float,
         outcome: tasks.Outcome,
     ):
-        self.order = order
+        self.command = command
         self.work_s = work_s
         self.percent = 100
         self.outcome = outcome
@@ -169,7 +169,7 @@
 
     def _end(self, name: str, outcome: tasks.Outcome) -> None:
         run = self.runs.pop(name)
-        number = run.order.run
+        number = run.command.run
         self._refused_up_to[name] = max(
             self._refused_up_to.get(name, 0), number
         )
@@ -195,36 +195,40 @@
             raise runners.FencedError("fenced")
         self.token = token
 
-    def begin_run(self, order: runners.StartRunCommand) -> runners.StartResult:
+    def begin_run(
+        self, command: runners.StartRunCommand
+    ) -> runners.StartResult:
         """Start a run, unless the command is fenced, late or outdated."""
         try:
-            self.check_token(order.token)
+            self.check_token(command.token)
         except runners.FencedError:
             return runners.StartResult.FENCED
-        if order.lease_until_ms < self.clock_ms():
+        if command.lease_until_ms < self.clock_ms():
             return runners.StartResult.TOO_LATE
-        self._lease_until_ms = max(self._lease_until_ms, order.lease_until_ms)
-        held = self.runs.get(order.task_name)
-        if held is not None and held.order.run == order.run:
+        self._lease_until_ms = max(
+            self._lease_until_ms, command.lease_until_ms
+        )
+        held = self.runs.get(command.task_name)
+        if held is not None and held.command.run == command.run:
             return runners.StartResult.STARTED
-        if order.run <= self._refused_up_to.get(order.task_name, 0):
+        if command.run <= self._refused_up_to.get(command.task_name, 0):
             return runners.StartResult.OLD_RUN
         outcome = tasks.Outcome.DONE
         if self._outcome_of is not None:
-            outcome = self._outcome_of(order.task_name, order.run)
-        self.runs[order.task_name] = MemoryRun(
-            order=order,
-            work_s=self._work_s(order.task_name),
+            outcome = self._outcome_of(command.task_name, command.run)
+        self.runs[command.task_name] = MemoryRun(
+            command=command,
+            work_s=self._work_s(command.task_name),
             outcome=outcome,
         )
         now_s = anyio.current_time()
-        self.starts.append((order.task_name, order.run, now_s))
+        self.starts.append((command.task_name, command.run, now_s))
         return runners.StartResult.STARTED
 
     def stop_run(self, name: str, number: int) -> None:
         """Stop a run and refuse starts of runs up to its number."""
         run = self.runs.get(name)
-        if run is not None and run.order.run <= number:
+        if run is not None and run.command.run <= number:
             self._end(name, tasks.Outcome.STOPPED)
         self._refused_up_to[name] = max(
             self._refused_up_to.get(name, 0), number
@@ -243,7 +247,7 @@
             active=[
                 runners.ActiveRun(
                     task_name=name,
-                    run=run.order.run,
+                    run=run.command.run,
                     percent=run.percent,
                     signal=self.tail_latencies_ms.get(name, 0.0),
                 )
@@ -302,14 +306,14 @@
             raise errors.LinkClosedError("no answer")
 
     async def start(
-        self, order: runners.StartRunCommand
+        self, command: runners.StartRunCommand
     ) -> runners.StartResult:
         """Start a run."""
         is_lost = await self._apply_call_faults()
         if is_lost:
-            self._worker.defer(lambda: self._worker.begin_run(order))
+            self._worker.defer(lambda: self._worker.begin_run(command))
             await self._apply_answer_faults(True)
-        answer = self._worker.begin_run(order)
+        answer = self._worker.begin_run(command)
         await self._apply_answer_faults(False)
         return answer
 
@@ -327,7 +331,7 @@
         await self._apply_call_faults()
         self._worker.check_token(token)
         held = self._worker.runs.get(task_name)
-        if held is not None and held.order.run == run:
+        if held is not None and held.command.run == run:
             held.percent = percent
         await self._apply_answer_faults(False)
 
--- a/wisteriawood/standins/worlds.py
+++ b/wisteriawood/standins/worlds.py
@@ -98,7 +98,7 @@
         """Cut the link between two processes in both directions."""
         self.cuts |= {(one, other), (other, one)}
 
-    def mend(self, one: str, other: str) -> None:
+    def heal(self, one: str, other: str) -> None:
         """Restore a link after a cut."""
         self.cuts -= {(one, other), (other, one)}
 
@@ -145,8 +145,8 @@
             process=process,
             peer=processes.PLATFORM,
             inner=self.platform,
-            unsent=errors.PlatformUnavailableError,
-            unknown=errors.TransactionUnknownError,
+            make_not_run_error=errors.PlatformUnavailableError,
+            make_unknown_error=errors.TransactionUnknownError,
         )
 
     def _dial_worker(
@@ -157,8 +157,8 @@
             process=process,
             peer=address,
             inner=self.workers[address],
-            unsent=errors.LinkRefusedError,
-            unknown=errors.LinkClosedError,
+            make_not_run_error=errors.LinkRefusedError,
+            make_unknown_error=errors.LinkClosedError,
         )
 
     def _dial_target(
@@ -171,8 +171,8 @@
             inner=processes.MemoryTargetLink(
                 group=self._group, target=self.targets[address]
             ),
-            unsent=_not_run,
-            unknown=_unknown,
+            make_not_run_error=_not_run,
+            make_unknown_error=_unknown,
         )
 
     @contextlib.asynccontextmanager
--- a/wisteriawood/telemetry/job_metrics.py
+++ b/wisteriawood/telemetry/job_metrics.py
@@ -34,7 +34,7 @@
         "jobs_ended",
         "lines_left_out",
         "paces",
-        "ready",
+        "jobs_opened",
         "registry",
         "started_s",
         "takeover_s",
@@ -45,7 +45,9 @@
         self.submissions = self._counter(
             "handins", "Jobs handed in, by outcome.", "outcome"
         )
-        self.ready = self._counter("jobs_opened", "Jobs and occurrences.")
+        self.jobs_opened = self._counter(
+            "jobs_opened", "Jobs and occurrences."
+        )
         self.ends = self._counter("run_ends", "Ends of runs.", "outcome")
         self.jobs_ended = self._counter("jobs_ended", "Ends of jobs.", "state")
         self.paces = self._counter("paces", "Orders to fillers.", "cause")
--- a/wisteriawood/tests/cells_tests.py
+++ b/wisteriawood/tests/cells_tests.py
@@ -62,7 +62,7 @@
 
     def test_a_failing_job_fails_after_its_attempts(self):
         async def _check(world):
-            world.failing = set(world.workers)
+            world.failing_workers = set(world.workers)
             await anyio.sleep(2)
             await world.submit(JOB, [_step(task_count=1)])
             await world.wait_for(JOB, jobs.JobState.FAILED)
--- a/wisteriawood/tests/configuration_tests.py
+++ b/wisteriawood/tests/configuration_tests.py
@@ -55,8 +55,8 @@
         service = found.service("kroupa", "shop")
         self.assertEqual(0.25, service.deadline_s)
         self.assertIsNone(found.team("nobody"))
-        self.assertFalse(found.knows("nobody"))
-        self.assertTrue(configuration.Configuration().knows("nobody"))
+        self.assertFalse(found.has_team("nobody"))
+        self.assertTrue(configuration.Configuration().has_team("nobody"))
 
 
 class PatchTests(unittest.TestCase):
--- a/wisteriawood/tests/faults/config_tests.py
+++ b/wisteriawood/tests/faults/config_tests.py
@@ -221,7 +221,7 @@
         scenario.world.cut(*pair)
     await anyio.sleep(FAULT_S)
     for pair in pairs:
-        scenario.world.mend(*pair)
+        scenario.world.heal(*pair)
 
 
 @FAULTS.register("all cut off from the platform")
@@ -231,7 +231,7 @@
         scenario.world.cut(*pair)
     await anyio.sleep(FAULT_S)
     for pair in pairs:
-        scenario.world.mend(*pair)
+        scenario.world.heal(*pair)
 
 
 @FAULTS.register("cut-off host replaced")
@@ -248,14 +248,14 @@
 async def freeze_cut_off(scenario):
     scenario.processes[CUT].freeze()
     await anyio.sleep(FAULT_S)
-    scenario.processes[CUT].wake()
+    scenario.processes[CUT].thaw()
 
 
 @FAULTS.register("other host frozen")
 async def freeze_other(scenario):
     scenario.processes[NAMES[1]].freeze()
     await anyio.sleep(FAULT_S)
-    scenario.processes[NAMES[1]].wake()
+    scenario.processes[NAMES[1]].thaw()
 
 
 @FAULTS.register("another operator")
--- a/wisteriawood/tests/faults/process_tests.py
+++ b/wisteriawood/tests/faults/process_tests.py
@@ -56,10 +56,12 @@
                 for number in range(2)
             ]
         )
-        for name in self.cluster.pairs:
+        for name in self.cluster.entry_hosts:
             await self.cluster.wait_until_ready(name)
         self.load = loads.Load(
-            addresses=[p.caller_address for p in self.cluster.pairs.values()],
+            addresses=[
+                p.caller_address for p in self.cluster.entry_hosts.values()
+            ],
             path="/vitrinenklima/humidity/check",
             rng=random.Random(1),
         )
@@ -109,7 +111,7 @@
 
     async def check_all(self, harness):
         counts, records = await harness.read_records()
-        sent = harness.load.seen
+        sent = harness.load.sent
         for result in (
             checks.check_slots(counts),
             checks.check_answers(sent),
@@ -124,7 +126,7 @@
     def test_slots_of_killed_entry_host_are_granted_again(self):
         async def _check(harness):
             cluster, load = harness.cluster, harness.load
-            dead, alive = list(cluster.pairs)
+            dead, alive = list(cluster.entry_hosts)
             async with anyio.create_task_group() as group:
                 group.start_soon(
                     functools.partial(load.run, callers_at_once=8, seconds=4.0)
@@ -132,10 +134,10 @@
                 await anyio.sleep(1.0)
                 cluster.kill(f"entry/{dead}")
                 cluster.kill(f"scheduler/{dead}")
-                load.remove_address(cluster.pairs[dead].caller_address)
+                load.remove_address(cluster.entry_hosts[dead].caller_address)
 
             async def _has_all_slots():
-                operator = cluster.pairs[alive].entry_operator_address
+                operator = cluster.entry_hosts[alive].entry_operator_address
                 status = await cluster.get(f"http://{operator}/status")
                 slots = sum(t["slots"] for t in status["targets"])
                 return slots == 16
@@ -164,7 +166,7 @@
                 return await harness.holder(rack) not in ("", frozen)
 
             await wait_for(_is_taken_over)
-            cluster.wake(f"scheduler/{frozen}")
+            cluster.thaw(f"scheduler/{frozen}")
 
             async def _are_finished():
                 found = [await harness.find(f"batch-{n}") for n in range(6)]
@@ -181,12 +183,14 @@
     def test_graceful_shutdown_cuts_no_request(self):
         async def _check(harness):
             cluster, load = harness.cluster, harness.load
-            leaving, _staying = list(cluster.pairs)
+            leaving, _staying = list(cluster.entry_hosts)
             unclean = []
 
             async def _stop():
                 # As a load balancer does when readiness fails.
-                load.remove_address(cluster.pairs[leaving].caller_address)
+                load.remove_address(
+                    cluster.entry_hosts[leaving].caller_address
+                )
                 if not await cluster.daemons[f"entry/{leaving}"].stop():
                     unclean.append(leaving)
 
@@ -197,7 +201,7 @@
                 await anyio.sleep(1.0)
                 group.start_soon(_stop)
             self.assertEqual([], unclean)
-            lost = [s for s in load.seen if s.outcome == loads.NO_ANSWER]
+            lost = [s for s in load.sent if s.outcome == loads.NO_ANSWER]
             self.assertEqual([], lost)
             await self.check_all(harness)
 
--- a/wisteriawood/tests/faults/proofs_tests.py
+++ b/wisteriawood/tests/faults/proofs_tests.py
@@ -57,7 +57,7 @@
 
 
 def _has_confirmed_term(scheduler, _rack):
-    return scheduler.membership.is_confirmed()
+    return scheduler.membership.holds_term()
 
 
 async def _assign_without_commit(_scheduler, rack, worker, placement):
--- a/wisteriawood/tests/faults/recovery_tests.py
+++ b/wisteriawood/tests/faults/recovery_tests.py
@@ -169,7 +169,7 @@
                 world.cut(name, processes.PLATFORM)
             await anyio.sleep(60)
             for name in list(world.processes):
-                world.mend(name, processes.PLATFORM)
+                world.heal(name, processes.PLATFORM)
             await anyio.sleep(10)
             self.assertEqual([""], [run.end for run in worker.records])
 
--- a/wisteriawood/tests/faults/request_faults.py
+++ b/wisteriawood/tests/faults/request_faults.py
@@ -64,14 +64,14 @@
 def freeze_entry(world):
     process = world.entry_process(FIRST_ENTRY)
     process.freeze()
-    return process.wake
+    return process.thaw
 
 
 @_lasts_long("grantor frozen past its term")
 def freeze_grantor(world):
     process = world.grantor_process()
     process.freeze()
-    return process.wake
+    return process.thaw
 
 
 @FAULTS.register("target frozen")
--- a/wisteriawood/tests/faults/request_proofs_tests.py
+++ b/wisteriawood/tests/faults/request_proofs_tests.py
@@ -128,7 +128,7 @@
                         until_s,
                     )
                 await anyio.sleep(9.0)
-                world.mend(grantor, "platform")
+                world.heal(grantor, "platform")
 
         self.check_proof(
             request_invariants.slots_kept,
--- a/wisteriawood/tests/faults/request_worlds.py
+++ b/wisteriawood/tests/faults/request_worlds.py
@@ -260,8 +260,12 @@
                 process=process,
                 peer=address,
                 inner=http_target(self.targets[address]),
-                unsent=lambda text: errors.RequestNotRunError(reason=text),
-                unknown=lambda text: errors.RequestUnknownError(reason=text),
+                make_not_run_error=lambda text: errors.RequestNotRunError(
+                    reason=text
+                ),
+                make_unknown_error=lambda text: errors.RequestUnknownError(
+                    reason=text
+                ),
             )
         return ObservedLink(
             world=self,
--- a/wisteriawood/tests/faults/task_faults.py
+++ b/wisteriawood/tests/faults/task_faults.py
@@ -260,7 +260,7 @@
     process = cell.process()
     process.freeze()
     await anyio.sleep(30)
-    process.wake()
+    process.thaw()
 
 
 @FAULTS.register("scheduler cut off 30 s, then far from the platform")
@@ -275,7 +275,7 @@
     await anyio.sleep(30)
     cell.world.delays_s[(name, processes.PLATFORM)] = 1.5
     for other in others:
-        cell.world.mend(name, other)
+        cell.world.heal(name, other)
     await anyio.sleep(20)
     del cell.world.delays_s[(name, processes.PLATFORM)]
 
@@ -285,7 +285,7 @@
     name = cell.process().name
     cell.world.cut(name, processes.PLATFORM)
     await anyio.sleep(60)
-    cell.world.mend(name, processes.PLATFORM)
+    cell.world.heal(name, processes.PLATFORM)
 
 
 @FAULTS.register("scheduler cut from the worker 60 s")
@@ -294,7 +294,7 @@
     name, address = cell.process().name, cell.address()
     cell.world.cut(name, address)
     await anyio.sleep(60)
-    cell.world.mend(name, address)
+    cell.world.heal(name, address)
 
 
 @FAULTS.register("commands delayed past a takeover")
@@ -315,7 +315,7 @@
     process = cell.world.processes["entry/linz-a-1"]
     process.freeze()
     await anyio.sleep(30)
-    process.wake()
+    process.thaw()
 
 
 @FAULTS.register("entry host cut off 30 s")
@@ -325,7 +325,7 @@
         cell.world.cut("entry/linz-a-1", other)
     await anyio.sleep(30)
     for other in others:
-        cell.world.mend("entry/linz-a-1", other)
+        cell.world.heal("entry/linz-a-1", other)
 
 
 @FAULTS.register("worker killed")
@@ -357,7 +357,7 @@
         cell.world.cut(name, address)
     await anyio.sleep(40)
     for name in cell.scheduler_processes():
-        cell.world.mend(name, address)
+        cell.world.heal(name, address)
 
 
 @FAULTS.register("worker fails everything")
@@ -381,7 +381,7 @@
         cell.world.cut(name, processes.PLATFORM)
     await anyio.sleep(60)
     for name in names:
-        cell.world.mend(name, processes.PLATFORM)
+        cell.world.heal(name, processes.PLATFORM)
 
 
 @FAULTS.register("platform down 10 minutes")
@@ -485,9 +485,9 @@
         if other != name:
             cell.world.cut(other, address)
     await anyio.sleep(90)
-    cell.world.mend(name, processes.PLATFORM)
+    cell.world.heal(name, processes.PLATFORM)
     for other in cell.scheduler_processes():
-        cell.world.mend(other, address)
+        cell.world.heal(other, address)
 
 
 @FAULTS.register("scheduler killed while more is submitted")
--- a/wisteriawood/tests/feeds_tests.py
+++ b/wisteriawood/tests/feeds_tests.py
@@ -52,7 +52,7 @@
                 for row in rows:
                     received[row.at.key] = row.value
 
-            feed = feeds.Feed(store=store, table=TABLE, take=_on_rows)
+            feed = feeds.Feed(store=store, table=TABLE, on_rows=_on_rows)
 
             def _write(key, value):
                 memory.apply(stores.Change(writes={_at(key): value}))
@@ -120,7 +120,7 @@
             feed = feeds.Feed(
                 store=memory.link("me"),
                 table=TABLE,
-                take=found.extend,
+                on_rows=found.extend,
                 pause_s=lambda: 100.0,
             )
             async with anyio.create_task_group() as group:
--- a/wisteriawood/tests/peering_tests.py
+++ b/wisteriawood/tests/peering_tests.py
@@ -42,7 +42,7 @@
             world.cut("entry/linz-a-1", "entry/linz-a-2")
             await anyio.sleep(60)
             self.assertEqual([], links(entries))
-            world.mend("entry/linz-a-1", "entry/linz-a-2")
+            world.heal("entry/linz-a-1", "entry/linz-a-2")
             await anyio.sleep(10)
             self.assertEqual(2, len(links(entries)))
 
--- a/wisteriawood/tests/placement_tests.py
+++ b/wisteriawood/tests/placement_tests.py
@@ -175,7 +175,7 @@
 
 class SizeTests(unittest.TestCase):
 
-    def _learn(self, learned, *, factors, count=20):
+    def _learn(self, size_estimator, *, factors, count=20):
         rng = random.Random(2)
         for _number in range(count):
             true = builders.make_resources(
@@ -187,27 +187,27 @@
                 cores=true.cores * factor,
                 memory_bytes=int(true.memory_bytes * factor),
             )
-            learned.observe("c", declared=declared, used=true)
+            size_estimator.observe("c", declared=declared, used=true)
 
     def test_declared_sizes_wrong_by_ten_times_are_corrected(self):
         for factors in ((10.0,), (0.1,), (0.1, 10.0)):
-            learned = sizes.SizeEstimator()
-            self._learn(learned, factors=factors)
+            size_estimator = sizes.SizeEstimator()
+            self._learn(size_estimator, factors=factors)
             for factor in factors:
                 declared = builders.make_resources(
                     cores=4.0 * factor, memory_bytes=int(8 * GIB * factor)
                 )
-                predicted = learned.predict("c", declared)
+                predicted = size_estimator.predict("c", declared)
                 with self.subTest(factors=factors, factor=factor):
                     self.assertAlmostEqual(4.0, predicted.cores, delta=0.8)
                     self.assertGreater(predicted.memory_bytes, 8 * GIB)
                     self.assertLess(predicted.memory_bytes, 11 * GIB)
 
     def test_declared_size_is_used_with_few_samples(self):
-        learned = sizes.SizeEstimator()
-        self._learn(learned, factors=(10.0,), count=3)
+        size_estimator = sizes.SizeEstimator()
+        self._learn(size_estimator, factors=(10.0,), count=3)
         declared = builders.make_resources(cores=40.0)
-        self.assertIs(declared, learned.predict("c", declared))
+        self.assertIs(declared, size_estimator.predict("c", declared))
 
     def test_unknown_class_starts_slowly(self):
         workers = builders.make_workers(8)
--- a/wisteriawood/zones/claims.py
+++ b/wisteriawood/zones/claims.py
@@ -18,17 +18,17 @@
     return hashlib.blake2b(f"{member}/{item}".encode()).digest()
 
 
-def is_preferred(watcher: membership.Membership, item: str) -> bool:
+def is_preferred(members: membership.Membership, item: str) -> bool:
     """Return whether rendezvous hashing assigns an item to this scheduler.
 
     Args:
-        watcher: Membership of this scheduler.
+        members: Membership of this scheduler.
         item: Name of a rack or task.
     """
-    own = watcher.own
+    own = members.own
     names = {
         member.name
-        for member in watcher.live(holdings.Role.SCHEDULER, zone=own.zone)
+        for member in members.live(holdings.Role.SCHEDULER, zone=own.zone)
         if member.state == holdings.HostState.LIVE
     }
     names.add(own.name)
@@ -50,7 +50,7 @@
 
 
 def find_claim(
-    watcher: membership.Membership, name: str, row: platforms.Row | None
+    members: membership.Membership, name: str, row: platforms.Row | None
 ) -> "ClaimProposal | None":
     """Return the claim that this scheduler may make on a rack, if any.
 
@@ -60,20 +60,20 @@
     in the meantime takes precedence.
 
     Args:
-        watcher: Membership of this scheduler.
+        members: Membership of this scheduler.
         name: Name of the rack.
         row: The rack's row, or None if there is none.
     """
-    holding = holdings.RackHolding(zone=watcher.own.zone, rack=name)
+    holding = holdings.RackHolding(zone=members.own.zone, rack=name)
     if row is not None:
         holding = rows.from_value(row.value, holdings.RackHolding)
     claim = ClaimProposal(holding=holding, version=row.version if row else 0)
-    if holding.incarnation == watcher.own.incarnation:
+    if holding.incarnation == members.own.incarnation:
         # This process claimed the rack, but could not read its tasks.
         claim.lease_left_s = terms.HORIZON_S + terms.DRIFT_MARGIN_S
         claim.former_renews_s = claim.lease_left_s
         return claim
-    if not is_preferred(watcher, name):
+    if not is_preferred(members, name):
         return None
     if not holding.holder:
         if holding.epoch:
@@ -81,11 +81,11 @@
             claim.lease_left_s = claim.former_renews_s
         return claim
     key = (holdings.Role.SCHEDULER, holding.holder)
-    observed = watcher.observed_members.get(key)
+    observed = members.observed_members.get(key)
     if observed is None:
-        watcher.watch_missing(_member_of_holding(holding))
+        members.watch_missing(_member_of_holding(holding))
         return None
-    is_dead = holding.incarnation in watcher.dead
+    is_dead = holding.incarnation in members.dead
     return _find_takeover(claim, observed, is_dead=is_dead)
 
 
@@ -126,7 +126,7 @@
         return claim
     if not observed.is_expired(now_s=now_s):
         return None
-    claim.former = observed.member
+    claim.former_holder = observed.member
     claim.former_renews_s = claim.lease_left_s
     return claim
 
@@ -138,7 +138,7 @@
     Attributes:
         holding: The rack's row as it was read.
         version: Version of that row; 0 if there is none.
-        former: The previous holder, unless its process is known to have
+        former_holder: The previous holder, unless its process is known to have
             ended.
         lease_left_s: Seconds until all leases of previous holders have
             expired.
@@ -149,7 +149,7 @@
 
     holding: holdings.RackHolding
     version: int
-    former: holdings.MemberRow | None = None
+    former_holder: holdings.MemberRow | None = None
     lease_left_s: float = 0.0
     former_renews_s: float = 0.0
     conditions: list[platforms.Condition] = dataclasses.field(
@@ -191,7 +191,9 @@
     if not result.committed:
         return None
     rack = racks.Rack(
-        holding=holding, version=result.version, former=claim.former
+        holding=holding,
+        version=result.version,
+        former_holder=claim.former_holder,
     )
     now_s = anyio.current_time()
     rack.former_renews_until_s = now_s + claim.former_renews_s
--- a/wisteriawood/zones/configuration_followers.py
+++ b/wisteriawood/zones/configuration_followers.py
@@ -93,7 +93,7 @@
         reason = self.unready_reason()
         if reason:
             raise errors.RequestNotRunError(reason=reason)
-        if not self.current.knows(name):
+        if not self.current.has_team(name):
             raise errors.RequestNotRunError(
                 reason=f"the configuration has no team {name!r}", status=404
             )
--- a/wisteriawood/zones/drains.py
+++ b/wisteriawood/zones/drains.py
@@ -35,7 +35,7 @@
         self._prefix = keys.drains(kind) + name
         self._names: frozenset[str] = frozenset()
 
-    def is_ordered(self, name: str) -> bool:
+    def is_requested(self, name: str) -> bool:
         """Return whether a drain of a host has been requested.
 
         Args:
--- a/wisteriawood/zones/membership.py
+++ b/wisteriawood/zones/membership.py
@@ -104,7 +104,7 @@
         self.renewed = anyio.Event()
         self.superseded = anyio.Event()
 
-    def is_confirmed(self) -> bool:
+    def holds_term(self) -> bool:
         """Return whether the daemon holds its term now."""
         return self.term.is_held(now_s=anyio.current_time())
 
@@ -121,7 +121,7 @@
         """
         return self.scan_sent_at_s > time_s
 
-    def lists(self, member: holdings.MemberRow) -> bool:
+    def has_row_of(self, member: holdings.MemberRow) -> bool:
         """Return whether the table has a row of this process.
 
         Args:
@@ -172,7 +172,7 @@
                 await self._renewal_due.wait()
 
     def _log_term(self) -> None:
-        is_held = self.is_confirmed()
+        is_held = self.holds_term()
         if is_held and not self._was_held:
             _LOG.log(events.TERM_HELD)
         elif self._was_held and not is_held:
@@ -185,7 +185,7 @@
 
     async def _scan_periodically(self) -> None:
         while True:
-            await self._track_reachability(self.watch)
+            await self._track_reachability(self.scan)
             await anyio.sleep(SCAN_PERIOD_S)
 
     async def _track_reachability(
@@ -253,7 +253,7 @@
             self.own.former_incarnation = former.incarnation
             self.own.former_longest_s = former.longest_s
 
-    async def watch(self) -> None:
+    async def scan(self) -> None:
         """Read the rows of all members once.
 
         Raises:
--- a/wisteriawood/zones/probes.py
+++ b/wisteriawood/zones/probes.py
@@ -50,13 +50,13 @@
 
     async def _probe(self, member: holdings.MemberRow) -> None:
         try:
-            if await is_refused(self._dial_peer, member):
+            if await refuses_connections(self._dial_peer, member):
                 self._on_dead(member)
         finally:
             self._probed.discard(member.incarnation)
 
 
-async def is_refused(
+async def refuses_connections(
     dial_peer: typing.Callable, member: holdings.MemberRow
 ) -> bool:
     """Return whether the host of a process refuses connections.
