--- a/wisteriawood/cells/members.py
+++ b/wisteriawood/cells/members.py
@@ -110,12 +110,12 @@
         self.by_name: dict[str, Member] = {}
         self.claims: dict[str, claims.Claim] = {}
         self.claim_feed = feeds.Feed(
-            store=store, table=tables.CLAIMS, take=self._process_claims
+            store=store, table=tables.CLAIMS, on_rows=self._process_claims
         )
         self.heartbeat_feed = feeds.Feed(
             store=store,
             table=tables.HOSTS,
-            take=self._process_heartbeats,
+            on_rows=self._process_heartbeats,
             pause_s=lambda: HEARTBEAT_FEED_PAUSE_S,
         )
 
@@ -150,7 +150,9 @@
                 heartbeat = claims.read_heartbeat(row)
             except errors.MessageError as exc:
                 _LOG.log(
-                    job_events.BEAT_UNREADABLE, host=row.at.key, cause=str(exc)
+                    job_events.HEARTBEAT_UNREADABLE,
+                    host=row.at.key,
+                    cause=str(exc),
                 )
                 continue
             known = self.by_name.get(row.at.key)
@@ -311,7 +313,9 @@
         try:
             await self._store.commit(change)
         except errors.PlatformError as exc:
-            _LOG.log(job_events.BEAT_FAILED, host=self.name, cause=str(exc))
+            _LOG.log(
+                job_events.HEARTBEAT_FAILED, host=self.name, cause=str(exc)
+            )
             return False
         self.heartbeat_written_at_s = anyio.current_time()
         return True
--- a/wisteriawood/machines/cancellations.py
+++ b/wisteriawood/machines/cancellations.py
@@ -43,7 +43,7 @@
     async def run(self) -> None:
         """Process the requests periodically, until cancelled."""
         while True:
-            if self._scheduler.membership.is_confirmed():
+            if self._scheduler.membership.holds_term():
                 try:
                     await self.process_requests()
                 except errors.PlatformError:
@@ -101,7 +101,7 @@
             task_id = _task_id(row)
             worker = here.get(task_id)
             if worker is not None:
-                worker.order_cancel(task_id)
+                worker.request_cancel(task_id)
             elif claims.is_preferred(self._scheduler.membership, task_id):
                 left.append(row)
         return left
--- a/wisteriawood/machines/entry_hosts.py
+++ b/wisteriawood/machines/entry_hosts.py
@@ -23,8 +23,8 @@
 from wisteriawood.telemetry import events
 from wisteriawood.telemetry import metrics
 from wisteriawood.telemetry import spans
+from wisteriawood.zones import configuration_followers
 from wisteriawood.zones import drains
-from wisteriawood.zones import followers
 from wisteriawood.zones import membership
 from wisteriawood.zones import peering
 
@@ -126,7 +126,7 @@
             dial_peer=dial_peer,
             addresses=peer_addresses,
         )
-        self.configuration = followers.Follower(
+        self.configuration = configuration_followers.Follower(
             platform=platform, links=self.peering
         )
         self.drains = drains.Drains(
@@ -139,7 +139,7 @@
         """Return why the entry host is not ready; empty if it is."""
         if self.is_draining:
             return "draining"
-        if self.drains.is_ordered(self.membership.own.name):
+        if self.drains.is_requested(self.membership.own.name):
             return "draining: an operator has ordered it"
         if self.configuration.unready_reason():
             return self.configuration.unready_reason()
--- a/wisteriawood/machines/workers.py
+++ b/wisteriawood/machines/workers.py
@@ -35,7 +35,7 @@
         is_started: Whether the worker accepted the start command.
         refusals: Number of start commands that the worker refused.
         change: State change that waits for its commit, if any.
-        changed: The task as it will be after that commit.
+        new_task: The task as it will be after that commit.
         is_ending: Whether that change removes the task from the worker.
         traceparent: W3C trace context of the assignment.
     """
@@ -55,7 +55,7 @@
     is_started: bool = False
     refusals: int = 0
     change: commits.Change | None = None
-    changed: tasks.Task | None = None
+    new_task: tasks.Task | None = None
     is_ending: bool = False
     traceparent: str = ""
 
@@ -174,7 +174,7 @@
         self.leaving = leaving
         if leaving:
             for task in self.placements:
-                self.order_eviction(task, "its worker is leaving")
+                self.request_eviction(task, "its worker is leaving")
 
     def set_capacity(self, capacity: resources.Resources) -> None:
         """Update the capacity from the worker's own report."""
@@ -206,7 +206,7 @@
             self.free = self.free + placement.allocated
         return placement
 
-    def order_eviction(self, task: str, reason: str) -> bool:
+    def request_eviction(self, task: str, reason: str) -> bool:
         """Order the eviction of a task.
 
         The coroutine that serves this worker writes a checkpoint, stops the
@@ -229,7 +229,7 @@
             self.wake()
         return True
 
-    def order_cancel(self, task: str) -> None:
+    def request_cancel(self, task: str) -> None:
         """Order the cancellation of a task.
 
         Args:
--- a/wisteriawood/standins/processes.py
+++ b/wisteriawood/standins/processes.py
@@ -50,7 +50,7 @@
         if self.thawed.is_set():
             self.thawed = anyio.Event()
 
-    def wake(self) -> None:
+    def thaw(self) -> None:
         """Resume it after a freeze, as SIGCONT does."""
         self.thawed.set()
 
@@ -60,7 +60,7 @@
         self.scope.cancel()
 
 
-class GuardedLink:
+class FaultyLink:
     """Calls from one process to another, subject to injected faults.
 
     Args:
@@ -68,16 +68,17 @@
         process: The calling process.
         peer: Name of the process that is called.
         inner: Object that executes the calls.
-        unsent: Makes the error for a call that had no effect.
-        unknown: Makes the error for a call that may have had an effect.
+        make_not_run_error: Makes the error for a call that had no effect.
+        make_unknown_error: Makes the error for a call that may have had an
+            effect.
     """
 
     __slots__ = (
         "_inner",
         "_peer",
         "_process",
-        "_unknown",
-        "_unsent",
+        "_make_unknown_error",
+        "_make_not_run_error",
         "_world",
     )
 
@@ -88,15 +89,15 @@
         process: Process,
         peer: str,
         inner: typing.Any,
-        unsent: typing.Callable[[str], Exception],
-        unknown: typing.Callable[[str], Exception],
+        make_not_run_error: typing.Callable[[str], Exception],
+        make_unknown_error: typing.Callable[[str], Exception],
     ):
         self._world = world
         self._process = process
         self._peer = peer
         self._inner = inner
-        self._unsent = unsent
-        self._unknown = unknown
+        self._make_not_run_error = make_not_run_error
+        self._make_unknown_error = make_unknown_error
 
     def __getattr__(self, name: str) -> typing.Any:
         call = getattr(self._inner, name)
@@ -108,17 +109,17 @@
         name = self._process.name
         world.calls.append((name, self._peer, call.__name__))
         if world.is_dead(self._peer):
-            raise self._unsent("refused")
+            raise self._make_not_run_error("refused")
         if world.is_cut(name, self._peer):
             await anyio.sleep(CALL_TIMEOUT_S)
-            raise self._unknown("no answer")
+            raise self._make_unknown_error("no answer")
         if world.delay_s(name, self._peer):
             call = functools.partial(self._call_with_delay, call)
         result = await call(*args, **kwargs)
         await anyio.sleep(world.delay_s(self._peer, name))
         if world.is_cut(self._peer, name):
             await anyio.sleep(CALL_TIMEOUT_S)
-            raise self._unknown("no answer")
+            raise self._make_unknown_error("no answer")
         await self._process.thawed.wait()
         return result
 
@@ -132,7 +133,7 @@
         with anyio.move_on_after(CALL_TIMEOUT_S):
             await delayed.done.wait()
         if not delayed.done.is_set():
-            raise self._unknown("no answer")
+            raise self._make_unknown_error("no answer")
         if delayed.error is not None:
             raise delayed.error
         return delayed.result
@@ -175,7 +176,7 @@
         self.done.set()
 
 
-class GuardedChannel:
+class FaultyChannel:
     """One end of a peer link, subject to injected faults.
 
     Args:
--- a/wisteriawood/standins/runners.py
+++ b/wisteriawood/standins/runners.py
@@ -17,7 +17,7 @@
     """A run on a simulated worker.
 
     Args:
-        order: Command that started the run.
+        command: Command that started the run.
         work_s: Remaining run time at full speed, in seconds.
         outcome: Outcome of the run once the work is done.
 
@@ -25,16 +25,16 @@
         percent: Speed of the run, as a percentage of full speed.
     """
 
-    __slots__ = ("order", "outcome", "percent", "work_s")
+    __slots__ = ("command", "outcome", "percent", "work_s")
 
     def __init__(
         self,
         *,
-        order: runners.StartOrder,
+        command: runners.StartRunCommand,
         work_s: float,
         outcome: tasks.Outcome,
     ):
-        self.order = order
+        self.command = command
         self.work_s = work_s
         self.percent = 100
         self.outcome = outcome
@@ -51,7 +51,7 @@
             number; all runs succeed if None.
 
     Attributes:
-        born_unix_ms: Start time of this instance of the worker process.
+        started_unix_ms: Start time of this instance of the worker process.
         cut_from: Hosts whose calls do not reach the worker.
         ends: All ends of runs, as (task name, run number, outcome, time in
             seconds).
@@ -77,7 +77,7 @@
         "_refused_up_to",
         "_started_at_s",
         "_work_s",
-        "born_unix_ms",
+        "started_unix_ms",
         "cut_from",
         "ends",
         "is_dead",
@@ -106,7 +106,7 @@
         self.lost_answer_delay_s = 0.0
         self.cut_from: set[str] = set()
         self.is_dead = False
-        self.born_unix_ms = 1000
+        self.started_unix_ms = 1000
         self.tail_latencies_ms: dict[str, float] = {}
         self._deferred: list[tuple[float, typing.Callable]] = []
         self._start_instance()
@@ -132,7 +132,7 @@
     def restart(self) -> None:
         """Start a new instance of the worker process under the same id."""
         self.is_dead = False
-        self.born_unix_ms += 1000
+        self.started_unix_ms += 1000
         self._start_instance()
 
     async def run(self) -> None:
@@ -169,7 +169,7 @@
 
     def _end(self, name: str, outcome: tasks.Outcome) -> None:
         run = self.runs.pop(name)
-        number = run.order.run
+        number = run.command.run
         self._refused_up_to[name] = max(
             self._refused_up_to.get(name, 0), number
         )
@@ -195,36 +195,40 @@
             raise runners.FencedError("fenced")
         self.token = token
 
-    def begin_run(self, order: runners.StartOrder) -> runners.StartAnswer:
+    def begin_run(
+        self, command: runners.StartRunCommand
+    ) -> runners.StartResult:
         """Start a run, unless the command is fenced, late or outdated."""
         try:
-            self.check_token(order.token)
+            self.check_token(command.token)
         except runners.FencedError:
-            return runners.StartAnswer.FENCED
-        if order.lease_until_ms < self.clock_ms():
-            return runners.StartAnswer.TOO_LATE
-        self._lease_until_ms = max(self._lease_until_ms, order.lease_until_ms)
-        held = self.runs.get(order.task_name)
-        if held is not None and held.order.run == order.run:
-            return runners.StartAnswer.STARTED
-        if order.run <= self._refused_up_to.get(order.task_name, 0):
-            return runners.StartAnswer.OLD_RUN
+            return runners.StartResult.FENCED
+        if command.lease_until_ms < self.clock_ms():
+            return runners.StartResult.TOO_LATE
+        self._lease_until_ms = max(
+            self._lease_until_ms, command.lease_until_ms
+        )
+        held = self.runs.get(command.task_name)
+        if held is not None and held.command.run == command.run:
+            return runners.StartResult.STARTED
+        if command.run <= self._refused_up_to.get(command.task_name, 0):
+            return runners.StartResult.OLD_RUN
         outcome = tasks.Outcome.DONE
         if self._outcome_of is not None:
-            outcome = self._outcome_of(order.task_name, order.run)
-        self.runs[order.task_name] = MemoryRun(
-            order=order,
-            work_s=self._work_s(order.task_name),
+            outcome = self._outcome_of(command.task_name, command.run)
+        self.runs[command.task_name] = MemoryRun(
+            command=command,
+            work_s=self._work_s(command.task_name),
             outcome=outcome,
         )
         now_s = anyio.current_time()
-        self.starts.append((order.task_name, order.run, now_s))
-        return runners.StartAnswer.STARTED
+        self.starts.append((command.task_name, command.run, now_s))
+        return runners.StartResult.STARTED
 
     def stop_run(self, name: str, number: int) -> None:
         """Stop a run and refuse starts of runs up to its number."""
         run = self.runs.get(name)
-        if run is not None and run.order.run <= number:
+        if run is not None and run.command.run <= number:
             self._end(name, tasks.Outcome.STOPPED)
         self._refused_up_to[name] = max(
             self._refused_up_to.get(name, 0), number
@@ -238,12 +242,12 @@
         """
         self._ends = [e for e in self._ends if e.number > acknowledged]
         return runners.RunReport(
-            born_unix_ms=self.born_unix_ms,
+            started_unix_ms=self.started_unix_ms,
             clock_ms=self.clock_ms(),
             active=[
                 runners.ActiveRun(
                     task_name=name,
-                    run=run.order.run,
+                    run=run.command.run,
                     percent=run.percent,
                     signal=self.tail_latencies_ms.get(name, 0.0),
                 )
@@ -260,7 +264,7 @@
         """
         self._lease_until_ms = max(self._lease_until_ms, lease_until_ms)
 
-    def has_ends(self) -> bool:
+    def has_unacknowledged_ends(self) -> bool:
         """Return whether ends of runs are not yet acknowledged."""
         return bool(self._ends)
 
@@ -301,13 +305,15 @@
             await anyio.sleep(CALL_TIMEOUT_S)
             raise errors.LinkClosedError("no answer")
 
-    async def start(self, order: runners.StartOrder) -> runners.StartAnswer:
+    async def start(
+        self, command: runners.StartRunCommand
+    ) -> runners.StartResult:
         """Start a run."""
         is_lost = await self._apply_call_faults()
         if is_lost:
-            self._worker.defer(lambda: self._worker.begin_run(order))
+            self._worker.defer(lambda: self._worker.begin_run(command))
             await self._apply_answer_faults(True)
-        answer = self._worker.begin_run(order)
+        answer = self._worker.begin_run(command)
         await self._apply_answer_faults(False)
         return answer
 
@@ -325,7 +331,7 @@
         await self._apply_call_faults()
         self._worker.check_token(token)
         held = self._worker.runs.get(task_name)
-        if held is not None and held.order.run == run:
+        if held is not None and held.command.run == run:
             held.percent = percent
         await self._apply_answer_faults(False)
 
@@ -347,7 +353,9 @@
         worker.renew(lease_until_ms)
         worker.report(acknowledged)
         waited_s = 0.0
-        while waited_s < wait_ms / 1000 and not worker.has_ends():
+        while (
+            waited_s < wait_ms / 1000 and not worker.has_unacknowledged_ends()
+        ):
             await anyio.sleep(TICK_S)
             waited_s += TICK_S
         await self._apply_answer_faults(False)
--- a/wisteriawood/tests/faults/config_tests.py
+++ b/wisteriawood/tests/faults/config_tests.py
@@ -12,7 +12,7 @@
 from wisteriawood.links import platforms
 from wisteriawood.policies import registry
 from wisteriawood.tests import builders
-from wisteriawood.zones import followers
+from wisteriawood.zones import configuration_followers
 
 NAMES = ("linz-a-1", "linz-a-2", "wien-b-1", "wien-b-2")
 CUT = "linz-a-1"
@@ -221,7 +221,7 @@
         scenario.world.cut(*pair)
     await anyio.sleep(FAULT_S)
     for pair in pairs:
-        scenario.world.mend(*pair)
+        scenario.world.heal(*pair)
 
 
 @FAULTS.register("all cut off from the platform")
@@ -231,7 +231,7 @@
         scenario.world.cut(*pair)
     await anyio.sleep(FAULT_S)
     for pair in pairs:
-        scenario.world.mend(*pair)
+        scenario.world.heal(*pair)
 
 
 @FAULTS.register("cut-off host replaced")
@@ -248,14 +248,14 @@
 async def freeze_cut_off(scenario):
     scenario.processes[CUT].freeze()
     await anyio.sleep(FAULT_S)
-    scenario.processes[CUT].wake()
+    scenario.processes[CUT].thaw()
 
 
 @FAULTS.register("other host frozen")
 async def freeze_other(scenario):
     scenario.processes[NAMES[1]].freeze()
     await anyio.sleep(FAULT_S)
-    scenario.processes[NAMES[1]].wake()
+    scenario.processes[NAMES[1]].thaw()
 
 
 @FAULTS.register("another operator")
@@ -325,7 +325,7 @@
             "polled",
             "answers lost",
             f"{CUT} has 1",
-            target=followers.Follower,
+            target=configuration_followers.Follower,
             attribute="apply_changes",
             new=_apply_polled_changes_only,
         )
@@ -335,7 +335,7 @@
             "applied",
             "old messages replayed",
             f"{CUT} reverted to version 1",
-            target=followers.Follower,
+            target=configuration_followers.Follower,
             attribute="_apply_snapshot",
             new=_apply_any_snapshot,
         )
@@ -346,7 +346,7 @@
             "another operator",
             "two operators received version 2",
             target=configurations.platforms,
-            attribute="commit_settled",
+            attribute="commit_with_retry",
             new=_commit_unconditionally,
         )
 
@@ -356,13 +356,13 @@
             "answers lost",
             "a change is in force, but was not acknowledged",
             target=configurations.platforms,
-            attribute="commit_settled",
+            attribute="commit_with_retry",
             new=_commit_with_new_id,
         )
 
 
-_APPLY_CHANGES = followers.Follower.apply_changes
-_APPLY_SNAPSHOT = followers.Follower._apply_snapshot
+_APPLY_CHANGES = configuration_followers.Follower.apply_changes
+_APPLY_SNAPSHOT = configuration_followers.Follower._apply_snapshot
 
 
 def _apply_polled_changes_only(self, changes):
--- a/wisteriawood/tests/faults/orders_tests.py
+++ b/wisteriawood/tests/faults/orders_tests.py
@@ -58,7 +58,7 @@
         for scheduler in self.world.schedulers.values():
             for rack in scheduler.racks.values():
                 for worker in rack.workers.values():
-                    worker.order_eviction(
+                    worker.request_eviction(
                         f"task-{number}", "requested by the test"
                     )
 
@@ -78,7 +78,7 @@
 
     async def restart_worker(self, number):
         """End all attempts of a worker, as a restart does."""
-        self.world.workers[f"worker-{number}:1"].lose_all()
+        self.world.workers[f"worker-{number}:1"].forget_attempts()
 
     async def toggle_platform(self, _number):
         """Make the platform unavailable, or available again."""
@@ -111,7 +111,7 @@
         await anyio.sleep(0.3)
     await events.end_faults()
     with anyio.move_on_after(tasks_tests.END_TIMEOUT_S):
-        while invariants.find_unended(world, events.task_ids):
+        while invariants.find_unfinished_tasks(world, events.task_ids):
             await anyio.sleep(1)
     await anyio.sleep(10)
     return [
@@ -120,7 +120,7 @@
             task_ids=events.task_ids,
             cancelled=events.cancelled,
         ),
-        *invariants.find_unended(world, events.task_ids),
+        *invariants.find_unfinished_tasks(world, events.task_ids),
     ]
 
 
--- a/wisteriawood/tests/faults/recovery_tests.py
+++ b/wisteriawood/tests/faults/recovery_tests.py
@@ -173,7 +173,7 @@
                 world.cut(name, processes.PLATFORM)
             await anyio.sleep(60)
             for name in list(world.processes):
-                world.mend(name, processes.PLATFORM)
+                world.heal(name, processes.PLATFORM)
             await anyio.sleep(10)
             self.assertEqual([""], [run.end for run in worker.records])
 
@@ -239,7 +239,9 @@
             )
             answer = await entry.serve(request)
             self.assertEqual("ran", answer.outcome)
-            self.assertEqual(ANNOUNCED_REQUEST_S, entry.membership.announced_s)
+            self.assertEqual(
+                ANNOUNCED_REQUEST_S, entry.membership.announced_longest_s
+            )
 
         self.run_world(_check)
 
--- a/wisteriawood/tests/faults/task_faults.py
+++ b/wisteriawood/tests/faults/task_faults.py
@@ -148,7 +148,7 @@
         if "throttle" in self.actions:
             worker.order_throttle(SUBJECT, 0.5)
         if "evict" in self.actions:
-            worker.order_eviction(SUBJECT, "requested by the test")
+            worker.request_eviction(SUBJECT, "requested by the test")
 
 
 # Steps: each function returns whether the subject has reached the step.
@@ -270,7 +270,7 @@
     process = scenario.holder_process()
     process.freeze()
     await anyio.sleep(30)
-    process.wake()
+    process.thaw()
 
 
 @FAULTS.register("scheduler cut off 30 s, then far from the platform")
@@ -285,7 +285,7 @@
     await anyio.sleep(30)
     scenario.world.delays_s[(name, processes.PLATFORM)] = 1.5
     for other in others:
-        scenario.world.mend(name, other)
+        scenario.world.heal(name, other)
     await anyio.sleep(20)
     del scenario.world.delays_s[(name, processes.PLATFORM)]
 
@@ -295,7 +295,7 @@
     name = scenario.holder_process().name
     scenario.world.cut(name, processes.PLATFORM)
     await anyio.sleep(60)
-    scenario.world.mend(name, processes.PLATFORM)
+    scenario.world.heal(name, processes.PLATFORM)
 
 
 @FAULTS.register("scheduler cut from the worker 60 s")
@@ -304,7 +304,7 @@
     name, address = scenario.holder_process().name, scenario.worker_address()
     scenario.world.cut(name, address)
     await anyio.sleep(60)
-    scenario.world.mend(name, address)
+    scenario.world.heal(name, address)
 
 
 @FAULTS.register("commands delayed past a takeover")
@@ -325,7 +325,7 @@
     process = scenario.world.processes["entry/linz-a-1"]
     process.freeze()
     await anyio.sleep(30)
-    process.wake()
+    process.thaw()
 
 
 @FAULTS.register("entry host cut off 30 s")
@@ -335,7 +335,7 @@
         scenario.world.cut("entry/linz-a-1", other)
     await anyio.sleep(30)
     for other in others:
-        scenario.world.mend("entry/linz-a-1", other)
+        scenario.world.heal("entry/linz-a-1", other)
 
 
 @FAULTS.register("worker killed")
@@ -347,7 +347,7 @@
 @FAULTS.register("worker lost all it ran")
 async def _worker_restarted(scenario):
     scenario.may_finish_twice = True
-    scenario.world.workers[scenario.worker_address()].lose_all()
+    scenario.world.workers[scenario.worker_address()].forget_attempts()
 
 
 @FAULTS.register("worker frozen 40 s")
@@ -367,7 +367,7 @@
         scenario.world.cut(name, address)
     await anyio.sleep(40)
     for name in scenario.scheduler_processes():
-        scenario.world.mend(name, address)
+        scenario.world.heal(name, address)
 
 
 @FAULTS.register("worker fails everything")
@@ -392,7 +392,7 @@
         scenario.world.cut(name, processes.PLATFORM)
     await anyio.sleep(60)
     for name in names:
-        scenario.world.mend(name, processes.PLATFORM)
+        scenario.world.heal(name, processes.PLATFORM)
 
 
 @FAULTS.register("platform down 10 minutes")
@@ -497,9 +497,9 @@
         if other != name:
             scenario.world.cut(other, address)
     await anyio.sleep(90)
-    scenario.world.mend(name, processes.PLATFORM)
+    scenario.world.heal(name, processes.PLATFORM)
     for other in scenario.scheduler_processes():
-        scenario.world.mend(other, address)
+        scenario.world.heal(other, address)
 
 
 @FAULTS.register("scheduler killed while more is submitted")
--- a/wisteriawood/tests/faults/tasks_tests.py
+++ b/wisteriawood/tests/faults/tasks_tests.py
@@ -65,16 +65,16 @@
         return [f"the step {step} was not reached"]
     await task_faults.FAULTS.get(fault)(scenario)
     with anyio.move_on_after(END_TIMEOUT_S):
-        while invariants.find_unended(world, scenario.task_ids):
+        while invariants.find_unfinished_tasks(world, scenario.task_ids):
             await anyio.sleep(1)
     await anyio.sleep(20)
-    repeats = invariants.find_repeats(world)
+    repeats = invariants.find_tasks_finished_twice(world)
     return [
         *([] if scenario.may_finish_twice else repeats),
         *invariants.find_all(
             world, task_ids=scenario.task_ids, cancelled=scenario.cancelled
         ),
-        *invariants.find_unended(world, scenario.task_ids),
+        *invariants.find_unfinished_tasks(world, scenario.task_ids),
     ]
 
 
--- a/wisteriawood/tests/placement_tests.py
+++ b/wisteriawood/tests/placement_tests.py
@@ -42,7 +42,7 @@
                 )
                 spec = builders.make_spec(id=f"t-{number}", needs=needs)
                 if needs.fits(worker.free):
-                    builders.place_on(worker, spec)
+                    builders.add_placement(worker, spec)
             worker.leaving = rng.random() < 0.05
             index.refresh(workers)
             wanted = builders.make_resources(
@@ -62,14 +62,14 @@
         index = indexes.WorkerIndex(rng=random.Random(1))
         index.refresh([worker])
         needs = builders.make_resources(cores=40.0)
-        builders.place_on(worker, builders.make_spec(needs=needs))
+        builders.add_placement(worker, builders.make_spec(needs=needs))
         self.assertEqual([], index.sample(needs, 4))
 
     def test_team_share_follows_tasks_and_workers(self):
         workers = builders.make_workers(2)
         index = indexes.WorkerIndex(rng=random.Random(1))
         needs = builders.make_resources(cores=32.0)
-        builders.place_on(workers[0], builders.make_spec(needs=needs))
+        builders.add_placement(workers[0], builders.make_spec(needs=needs))
         index.refresh(workers)
         self.assertEqual(0.25, index.team_share("vitrinenklima"))
         index.refresh(workers[:1])
@@ -134,7 +134,7 @@
 
     def test_noisy_job_is_placed_apart_from_services(self):
         workers = builders.make_workers(2)
-        builders.place_on(workers[0], _service(1, task_class="shop"))
+        builders.add_placement(workers[0], _service(1, task_class="shop"))
         allocator = builders.make_allocator(workers)
         noisy = interference.Neighbour(name="kroupa/noisy", load=0.125)
         for now_s in range(30):
@@ -155,7 +155,7 @@
 
     def test_harmful_job_waits_then_starts_throttled(self):
         (worker,) = builders.make_workers(1)
-        builders.place_on(worker, _service(1, task_class="shop"))
+        builders.add_placement(worker, _service(1, task_class="shop"))
         allocator = builders.make_allocator([worker])
         noisy = interference.Neighbour(name="kroupa/noisy", load=0.25)
         for now_s in range(30):
@@ -175,7 +175,7 @@
 
 class SizeTests(unittest.TestCase):
 
-    def _learn(self, learned, *, factors, count=20):
+    def _learn(self, size_estimator, *, factors, count=20):
         rng = random.Random(2)
         for _number in range(count):
             true = builders.make_resources(
@@ -187,27 +187,27 @@
                 cores=true.cores * factor,
                 memory_bytes=int(true.memory_bytes * factor),
             )
-            learned.observe("c", declared=declared, used=true)
+            size_estimator.observe("c", declared=declared, used=true)
 
     def test_declared_sizes_wrong_by_ten_times_are_corrected(self):
         for factors in ((10.0,), (0.1,), (0.1, 10.0)):
-            learned = sizes.SizeEstimator()
-            self._learn(learned, factors=factors)
+            size_estimator = sizes.SizeEstimator()
+            self._learn(size_estimator, factors=factors)
             for factor in factors:
                 declared = builders.make_resources(
                     cores=4.0 * factor, memory_bytes=int(8 * GIB * factor)
                 )
-                predicted = learned.predict("c", declared)
+                predicted = size_estimator.predict("c", declared)
                 with self.subTest(factors=factors, factor=factor):
                     self.assertAlmostEqual(4.0, predicted.cores, delta=0.8)
                     self.assertGreater(predicted.memory_bytes, 8 * GIB)
                     self.assertLess(predicted.memory_bytes, 11 * GIB)
 
     def test_declared_size_is_used_with_few_samples(self):
-        learned = sizes.SizeEstimator()
-        self._learn(learned, factors=(10.0,), count=3)
+        size_estimator = sizes.SizeEstimator()
+        self._learn(size_estimator, factors=(10.0,), count=3)
         declared = builders.make_resources(cores=40.0)
-        self.assertIs(declared, learned.predict("c", declared))
+        self.assertIs(declared, size_estimator.predict("c", declared))
 
     def test_unknown_class_starts_slowly(self):
         workers = builders.make_workers(8)
@@ -240,7 +240,7 @@
         specs = [builders.make_spec(id=f"t-{number}") for number in range(5)]
         watcher = builders.make_spec(id="w", kind=tasks.TaskKind.WATCHER)
         for spec in (watcher, *specs):
-            builders.place_on(worker, spec)
+            builders.add_placement(worker, spec)
         for now_s in (10.0, 11.0, 12.0):
             reports = [
                 builders.make_usage(spec, used=used, measured_s=now_s)
