--- a/wisteriawood/machines/quarantines.py
+++ b/wisteriawood/machines/quarantines.py
@@ -104,11 +104,12 @@
         observed = self._observed_member(quarantine)
         if observed is None or not observed.version:
             return
-        incarnation = quarantine.member.incarnation
         longest_s = 0.0
-        if observed.member.incarnation == incarnation:
+        if observed.member.incarnation == quarantine.member.incarnation:
             longest_s = observed.member.longest_s
-        elif observed.member.former_incarnation == incarnation:
+        elif (
+            observed.member.former_incarnation == quarantine.member.incarnation
+        ):
             longest_s = observed.member.former_longest_s
         if longest_s > 0:
             quarantine.longest_s = longest_s
--- a/wisteriawood/machines/rack_managers.py
+++ b/wisteriawood/machines/rack_managers.py
@@ -211,8 +211,9 @@
             racks_by_former: dict[str, list[racks.Rack]] = {}
             for rack in self._scheduler.racks.values():
                 if rack.former is not None:
-                    incarnation = rack.former.incarnation
-                    held = racks_by_former.setdefault(incarnation, [])
+                    held = racks_by_former.setdefault(
+                        rack.former.incarnation, []
+                    )
                     held.append(rack)
             for held in racks_by_former.values():
                 if await self._is_dead(held[0].former):
--- a/wisteriawood/machines/slot_clients.py
+++ b/wisteriawood/machines/slot_clients.py
@@ -411,15 +411,12 @@
             row = await self._platform.read(key)
             if row is not None:
                 found = rows.from_value(row.value, holdings.RackHolding)
-                is_held = (
-                    found.incarnation == grantor.incarnation
-                    and found.epoch == epoch
-                )
+                is_holder = found.incarnation == grantor.incarnation
                 # A newer claim may have arrived during the read.
                 is_current = rack.epoch == epoch and rack.is_granted_by(
                     grantor
                 )
-                if is_current and not is_held:
+                if is_current and not (is_holder and found.epoch == epoch):
                     rack.retain()
         except errors.PlatformError:
             pass
--- a/wisteriawood/machines/slot_ledgers.py
+++ b/wisteriawood/machines/slot_ledgers.py
@@ -81,8 +81,9 @@
         """Return the shares of a target."""
         found = self.targets.get(target_id)
         if found is None:
-            found = shares.TargetShares(target=target_id)
-            self.targets[target_id] = found
+            found = self.targets[target_id] = shares.TargetShares(
+                target=target_id
+            )
         return found
 
     def is_complete(self) -> bool:
--- a/wisteriawood/tests/faults/task_faults.py
+++ b/wisteriawood/tests/faults/task_faults.py
@@ -372,8 +372,9 @@
 
 @FAULTS.register("worker fails everything")
 async def _worker_fails(scenario):
-    worker = scenario.world.workers[scenario.worker_address()]
-    worker.faults.fails_everything = True
+    scenario.world.workers[
+        scenario.worker_address()
+    ].faults.fails_everything = True
 
 
 @FAULTS.register("rack lost")
@@ -423,8 +424,9 @@
 
 @FAULTS.register("host list lags 60 s and lacks a live worker")
 async def _host_list_lags(scenario):
-    name = scenario.worker_address().split(":")[0]
-    scenario.world.platform.remove_host(name)
+    scenario.world.platform.remove_host(
+        scenario.worker_address().split(":")[0]
+    )
     scenario.world.platform.faults.hosts_lag_s = 60.0
 
 
--- a/wisteriawood/tests/invariants.py
+++ b/wisteriawood/tests/invariants.py
@@ -1,13 +1,11 @@
 """Checks invariants against the attempts recorded by stand-in workers."""
 
-import math
-
 from wisteriawood.contracts import keys
 from wisteriawood.contracts import resources
 from wisteriawood.contracts import tasks
 from wisteriawood.links.codecs import rows
 
-NEVER_S = math.inf
+INFINITY = float("inf")
 
 
 def _records(world):
@@ -18,7 +16,7 @@
 
 
 def _stopped_s(record):
-    return record.stopped_s if record.end else NEVER_S
+    return record.stopped_s if record.end else INFINITY
 
 
 def find_overlaps(world):
@@ -142,7 +140,7 @@
     found = []
     for task_id in task_ids:
         row = world.platform.table.get(keys.ended(task_id))
-        last = row.value["attempt"] if row else math.inf
+        last = row.value["attempt"] if row else INFINITY
         for worker, record in _records(world):
             if record.task == task_id and record.attempt > last:
                 found.append(f"{task_id}: attempt {record.attempt}")
