--- a/wisteriawood/tests/faults/orders_tests.py
+++ b/wisteriawood/tests/faults/orders_tests.py
@@ -101,7 +101,7 @@
 
     Args:
         world: A new world.
-        plan: Pairs of the name of an event and its number.
+        plan: Pairs of the name of a method of Events and its argument.
     """
     tasks_tests.build(world)
     events = Events(world=world)
@@ -172,6 +172,8 @@
         assert found == [], (self.plan, found)
 
 
+# With derandomize, hypothesis seeds the examples from the source text of
+# OrderMachine: an edit of that class changes the sequences that are run.
 OrderTests = OrderMachine.TestCase
 OrderTests.settings = hypothesis.settings(
     derandomize=True,
--- a/wisteriawood/tests/faults/recovery_tests.py
+++ b/wisteriawood/tests/faults/recovery_tests.py
@@ -20,7 +20,7 @@
 # The longest deadline in builders.make_configuration, which entry hosts
 # announce.
 ANNOUNCED_REQUEST_S = 2.0
-TAKEOVER_S = 10.0
+MAX_TAKEOVER_S = 10.0
 # Shorter than the term, after which a rack is claimed without proof that its
 # holder has ended.
 EARLY_CLAIM_S = 5.0
@@ -71,7 +71,10 @@
 
 
 def isolate(world, name):
-    """Cut all links of a process; connections to it are not refused."""
+    """Cut all links of a process.
+
+    Connections to it are not refused, so nothing proves that it is dead.
+    """
     for other in [processes.PLATFORM, *world.processes]:
         if other != name:
             world.cut(name, other)
@@ -95,7 +98,7 @@
 
 
 def count_breaches(world):
-    """Return the number of requests that exceeded the slots of a target."""
+    """Return how many requests reached targets without a free slot."""
     return sum(target.counts.breaches for target in world.targets.values())
 
 
@@ -123,13 +126,13 @@
 
     def test_slots_of_killed_entry_host_and_its_scheduler(self):
         async def _check(world):
-            scheduler, name = holder_process(world)
+            process, name = holder_process(world)
             world.processes[f"entry/{name}"].kill()
-            scheduler.kill()
+            process.kill()
             alive = [n for n in NAMES if n != name]
             self.assertLess(
                 await measure_recovery(world, alive),
-                TAKEOVER_S + ANNOUNCED_REQUEST_S + 2.0,
+                MAX_TAKEOVER_S + ANNOUNCED_REQUEST_S + 2.0,
             )
 
         self.run_world(_check)
@@ -181,8 +184,8 @@
 
     def test_racks_of_dead_scheduler_are_claimed_before_its_term_ends(self):
         async def _check(world):
-            scheduler, name = holder_process(world)
-            scheduler.kill()
+            process, name = holder_process(world)
+            process.kill()
             alive = world.schedulers[NAMES[1 - NAMES.index(name)]]
             with anyio.fail_after(EARLY_CLAIM_S):
                 while len(alive.racks) < 2:
@@ -192,9 +195,9 @@
 
     def test_racks_of_isolated_scheduler_are_not_claimed_early(self):
         async def _check(world):
-            scheduler, name = holder_process(world)
+            process, name = holder_process(world)
             held = set(world.schedulers[name].racks)
-            isolate(world, scheduler.name)
+            isolate(world, process.name)
             await anyio.sleep(EARLY_CLAIM_S)
             alive = world.schedulers[NAMES[1 - NAMES.index(name)]]
             self.assertEqual(set(), held & set(alive.racks))
@@ -215,6 +218,7 @@
 
     def test_longer_request_is_announced_before_it_is_sent(self):
         async def _check(world):
+            # A longer announcement is kept for at most 2 * 60 + 3 s.
             await anyio.sleep(130)
             own = world.entries["linz-a-1"].membership.own
             self.assertEqual(ANNOUNCED_REQUEST_S, own.longest_s)
--- a/wisteriawood/tests/faults/request_faults.py
+++ b/wisteriawood/tests/faults/request_faults.py
@@ -6,7 +6,7 @@
 from wisteriawood.tests.faults import request_worlds
 
 FAULTS = registry.Registry(kind="fault")
-# Faults that are kept up for longer than the terms of slots.
+# Faults that last longer than the term of a slot.
 LONG_FAULTS = set()
 FIRST_ENTRY, SECOND_ENTRY = request_worlds.ENTRIES
 ADDED_DELAY_S = 0.8
@@ -77,11 +77,13 @@
 @FAULTS.register("target frozen")
 def freeze_target(world):
     target = _target(world)
+    # A new event is not set, so the target waits for it.
     target.thawed = type(target.thawed)()
     return target.thawed.set
 
 
 def _cut(world, *pairs):
+    """Cut links one way, each given as sender and receiver."""
     world.cuts |= set(pairs)
 
     def _undo():
--- a/wisteriawood/tests/faults/request_invariants.py
+++ b/wisteriawood/tests/faults/request_invariants.py
@@ -1,4 +1,4 @@
-"""Checks of request invariants, by the records of targets and callers."""
+"""Checks invariants against the requests recorded by targets and callers."""
 
 from wisteriawood.contracts import requests
 
@@ -16,7 +16,7 @@
 
 
 def find_wrong_answers(world):
-    """Return callers whose answer was incomplete or not their own."""
+    """Return requests with an incomplete answer or that of another one."""
     return [
         f"{reply.request_id} got {reply.body!r}"
         for reply in world.replies
@@ -62,8 +62,8 @@
     ]
 
 
-def find_cut_by_drain(world):
-    """Return requests in flight that a graceful shutdown interrupted."""
+def find_interrupted_by_drain(world):
+    """Return requests in flight that a drain interrupted."""
     return [
         f"{reply.request_id} was {reply.outcome} at the drained {reply.entry}"
         for reply in world.replies
@@ -83,7 +83,7 @@
     find_false_not_run,
     find_repeated_runs,
     find_requests_to_leaving,
-    find_cut_by_drain,
+    find_interrupted_by_drain,
 )
 
 
--- a/wisteriawood/tests/faults/request_proofs_tests.py
+++ b/wisteriawood/tests/faults/request_proofs_tests.py
@@ -176,7 +176,7 @@
 
     def test_drain_interrupts_no_requests(self):
         self.check_fault(
-            request_invariants.find_cut_by_drain,
+            request_invariants.find_interrupted_by_drain,
             "entry host drained",
             "half answered",
             (entry_hosts.EntryHost, "_finish_requests", _skip_wait),
--- a/wisteriawood/tests/faults/request_worlds.py
+++ b/wisteriawood/tests/faults/request_worlds.py
@@ -18,10 +18,11 @@
 
 # Idempotency key of the run-once request whose steps trigger the faults.
 PROBE = "probe"
+# Outcome of a request whose caller received no answer.
 LOST = "lost"
 LINK_DELAY_S = 0.003
 SERVICE_S = 0.8
-SLOTS = 2
+SLOTS_PER_TARGET = 2
 ENTRIES = ("linz-a-1", "linz-a-2")
 TARGETS = ("target-1", "target-2")
 STEPS = (
@@ -69,9 +70,9 @@
         runs: All requests received.
         thawed: Event that is not set while the target is frozen.
         is_dead: Whether the target no longer answers.
-        answer_mode: "twice" or "out of order", for which each answer is
-            replaced by the previous one; "half", for which the link loses
-            each answer; empty for none.
+        answer_mode: Fault of the answers, or empty. With "twice" and "out of
+            order", each request gets the previous answer; with "half", the
+            link to the target loses each answer.
         previous_reply: The reply to the previous request, if any.
     """
 
@@ -154,7 +155,10 @@
 
 
 class ObservedLink:
-    """Link to a target that reports when the probe was granted a slot."""
+    """Link to a target that reports when the probe has been granted a slot.
+
+    It also adds the delay of the link and loses answers in mode "half".
+    """
 
     __slots__ = ("_address", "_inner", "_target", "_world")
 
@@ -194,8 +198,9 @@
         result = await self._inner.commit(transaction)
         for write in transaction.writes:
             if write.key.endswith(f"/{PROBE}") and write.value:
-                is_end = write.value["status"]
-                self._world.record_step("recorded" if is_end else "admitted")
+                # The status is 0 until the response is stored.
+                status = write.value["status"]
+                self._world.record_step("recorded" if status else "admitted")
         return result
 
 
@@ -206,10 +211,12 @@
         on_step: Function that is called with each step that is reached.
         reached: Steps reached so far, in order.
         replies: Outcomes of all requests sent.
-        drained_at_s: Start of the shutdown, by entry host.
-        target_delays_s: One-way delay of the link, by target address.
+        drained_at_s: Monotonic time at which its drain began, by entry host.
+        target_delays_s: One-way delay of the link in seconds, by target
+            address.
         uses_http: Whether entry hosts reach targets through the HTTP link.
-        leaving_since_s: Time at which it was marked as leaving, by target.
+        leaving_since_s: Monotonic time at which it was marked as leaving, by
+            target.
         probe_scope: Cancel scope of the probe's caller.
     """
 
@@ -248,7 +255,10 @@
             self.on_step(step)
 
     def record_step_after(self, step, delay_s):
-        """Record a step after a delay; queued only if no slot was granted."""
+        """Record a step after a delay.
+
+        The step "queued" is skipped if the probe has a slot by then.
+        """
 
         async def _later():
             await anyio.sleep(delay_s)
@@ -305,7 +315,7 @@
         )
 
     def kill_entry(self, name):
-        """Kill an entry host, which ends the calls of its callers."""
+        """Kill an entry host; its callers receive no answer."""
         self.entry_process(name).kill()
         for scope in self.call_scopes.get(name, ()):
             scope.cancel()
@@ -402,7 +412,9 @@
 def build(world):
     """Start two targets, two schedulers and two entry hosts."""
     for name in TARGETS:
-        world.add_target(builders.make_target_host(name=name, slots=SLOTS))
+        world.add_target(
+            builders.make_target_host(name=name, slots=SLOTS_PER_TARGET)
+        )
     for name in ENTRIES:
         world.add_scheduler(builders.make_member(name=name))
         world.add_entry(
@@ -412,7 +424,9 @@
 
 def mark_leaving(world, name):
     """Mark a target as leaving in the host list."""
-    host = builders.make_target_host(name=name, slots=SLOTS, leaving=True)
+    host = builders.make_target_host(
+        name=name, slots=SLOTS_PER_TARGET, leaving=True
+    )
     world.leaving_since_s[name] = anyio.current_time()
     world.platform.put_host(host)
 
--- a/wisteriawood/tests/faults/requests_tests.py
+++ b/wisteriawood/tests/faults/requests_tests.py
@@ -25,16 +25,19 @@
     "target answers out of order",
     "target answers half",
 )
+# Steps at which a fault of the answer comes too late to have an effect.
 TOO_LATE = {
     step: "the target has answered" for step in ("recorded", "replied")
 }
+# Reason why a fault can't occur at a step, by fault and step.
 IMPOSSIBLE = {
     ("caller gone", "replied"): "the caller has its answer",
     **{
-        (fault, step): why
+        (fault, step): reason
         for fault in ANSWER_FAULTS
-        for step, why in TOO_LATE.items()
+        for step, reason in TOO_LATE.items()
     },
+    # The other faults still change the answer at this step.
     **{
         (fault, "answered"): "the target has answered"
         for fault in ANSWER_FAULTS[:1]
@@ -93,9 +96,9 @@
 class RequestMatrixTests(unittest.TestCase):
 
     def check_fault(self, fault, step):
-        why = IMPOSSIBLE.get((fault, step))
-        if why:
-            print_result(f"{fault} | {step} | can't occur: {why}")
+        reason = IMPOSSIBLE.get((fault, step))
+        if reason:
+            print_result(f"{fault} | {step} | can't occur: {reason}")
             return
 
         async def _check(world):
--- a/wisteriawood/tests/faults/task_faults.py
+++ b/wisteriawood/tests/faults/task_faults.py
@@ -238,7 +238,7 @@
     return SUBJECT in scenario.cancelled
 
 
-# Faults: each function injects a fault; one with a duration also ends it.
+# Faults: each function injects a fault and, if it is temporary, ends it.
 
 
 def _kill(scenario):
@@ -274,10 +274,10 @@
 
 
 @FAULTS.register("scheduler cut off 30 s, then far from the platform")
-async def _scheduler_cut_and_far(scenario):
+async def _scheduler_cut_then_slow(scenario):
     """Cut off the holder of a leaving worker, so that its task moves."""
     scenario.may_finish_twice = True
-    _mark_leaving(scenario)
+    _mark_worker_leaving(scenario)
     name = scenario.holder_process().name
     others = [processes.PLATFORM, *scenario.world.workers]
     for other in others:
@@ -427,6 +427,8 @@
     scenario.world.platform.remove_host(
         scenario.worker_address().split(":")[0]
     )
+    # The removal is seen at once; the lag of later changes stays until the
+    # scenario ends.
     scenario.world.platform.faults.hosts_lag_s = 60.0
 
 
@@ -435,7 +437,7 @@
     await scenario.cancel(scenario.task_ids)
 
 
-def _mark_leaving(scenario):
+def _mark_worker_leaving(scenario):
     name = scenario.worker_address().split(":")[0]
     number = int(name.rsplit("-", 1)[1])
     scenario.world.platform.put_host(
@@ -447,7 +449,7 @@
 
 @FAULTS.register("operators race: cancel, submit and drain at once")
 async def _operators_race(scenario):
-    _mark_leaving(scenario)
+    _mark_worker_leaving(scenario)
     spec = builders.make_spec(id="late")
     scenario.task_ids.append(spec.id)
     async with anyio.create_task_group() as group:
--- a/wisteriawood/tests/faults/tasks_tests.py
+++ b/wisteriawood/tests/faults/tasks_tests.py
@@ -82,8 +82,8 @@
 
     def _check_step(self, step):
         step_index = task_faults.STEPS.names().index(step)
-        for number, fault in enumerate(task_faults.FAULTS.names()):
-            if not IS_FULL and (number + step_index) % STRIDE:
+        for fault_index, fault in enumerate(task_faults.FAULTS.names()):
+            if not IS_FULL and (fault_index + step_index) % STRIDE:
                 continue
             with self.subTest(step=step, fault=fault):
                 found = []
