--- a/wisteriawood/tests/faults/requests_tests.py
+++ b/wisteriawood/tests/faults/requests_tests.py
@@ -25,7 +25,7 @@
     "target answers out of order",
     "target answers half",
 )
-# Steps at which the target has answered, so its answer has no fault.
+# Steps at which a fault of the answer comes too late to have an effect.
 TOO_LATE = {
     step: "the target has answered" for step in ("recorded", "replied")
 }
