--- a/wisteriawood/cells/balancers.py
+++ b/wisteriawood/cells/balancers.py
@@ -13,7 +13,8 @@
 # Part of each cell's weight that does not depend on its free capacity, so that
 # full cells have a weight above 0.
 MIN_CELL_WEIGHT = 0.001
-# Exponent of a cell's free share of its capacity in its weight.
+# The other part of a cell's weight is the free share of its capacity, raised
+# to this power.
 FREE_SHARE_EXPONENT = 2
 
 
@@ -117,10 +118,10 @@
 
 
 def _peak_demand(spec: specs.JobSpec) -> tuple[int, int]:
-    """Return the CPU in millicores that the widest step of a job needs.
+    """Return the highest CPU request of a job's steps, in millicores.
 
     Returns:
-        Reserved CPU, and CPU of fillers.
+        The highest of the steps that reserve CPU, and of the filler steps.
     """
     reserved = fillers = 0
     for step in spec.steps:
--- a/wisteriawood/cells/cells.py
+++ b/wisteriawood/cells/cells.py
@@ -51,7 +51,7 @@
         fleet: The workers, by id.
         last_job_at_s: Monotonic time at which the newest job was added.
         writer: Writes the rows of the jobs.
-        model: Measured effect of fillers on serving tasks.
+        model: Estimates of the load that fillers add to serving tasks.
         filler_meter: Measures the rate at which fillers complete work.
         orphans: Runs loaded from the store whose worker the directory has
             not listed yet, by worker.
@@ -364,8 +364,9 @@
             worker: The worker.
             run: The run.
         """
-        # If the call fails, the filler pacer's next check sends the next step
-        # while the tail latency is still near its bound.
+        # If the call fails, the worker keeps the old pace until the filler
+        # pacer changes the pace again. While the tail latency is near its
+        # bound, its next checks do so unless the pace is already 0.
         self._send_in_background(
             worker,
             run.name,
@@ -382,7 +383,7 @@
         call: typing.Callable[[], typing.Awaitable[None]],
         unanswered: events.Event,
     ) -> None:
-        """Send a command once, without a retry, in a task of its own."""
+        """Send a command once in the background, without a retry."""
         if self._group is not None:
             self._group.start_soon(
                 self._send_command, worker, task_name, call, unanswered
--- a/wisteriawood/cells/command_senders.py
+++ b/wisteriawood/cells/command_senders.py
@@ -145,8 +145,8 @@
             worker.avoided_until_s = now_s + UNHEALTHY_PAUSE_S
         run.mark_answered(now_s)
         if answer is runners.StartResult.OLD_RUN:
-            # The next report either lists the end of the run or omits the
-            # run, which ends it.
+            # The next report lists the run as ended or omits it; an omitted
+            # run is recorded as ended.
             return
         if is_first:
             self._cell.end_run(worker, run, tasks.Outcome.STOPPED)
--- a/wisteriawood/cells/evacuations.py
+++ b/wisteriawood/cells/evacuations.py
@@ -1,4 +1,4 @@
-"""Moves runs off draining workers before they stop."""
+"""Moves runs off draining workers before the workers stop."""
 
 from wisteriawood.cells import cells
 from wisteriawood.cells import workers
@@ -12,9 +12,10 @@
     """Stop runs on draining workers that can move without losing work.
 
     A run is stopped only if another worker has enough free capacity for it.
-    Standing tasks restart there, one per draining worker at a time, and
-    tasks with checkpoints resume there. All other tasks may still finish
-    before the worker stops.
+    Its task then waits for a new run: standing tasks start again, and tasks
+    with checkpoints resume. Each pass stops at most one standing task per
+    draining worker. All other tasks keep running, as they may finish before
+    the worker stops.
 
     Args:
         cell: The cell.
--- a/wisteriawood/cells/holders.py
+++ b/wisteriawood/cells/holders.py
@@ -33,7 +33,7 @@
 # Fencing tokens per epoch; each restart of a worker uses one.
 TOKENS_PER_EPOCH = 1000
 TICK_PERIOD_S = 0.25
-# Time for which a former holder that can't reach the store is assumed to
+# Time for which a former holder that can't reach the store may continue to
 # renew leases.
 RENEW_WITHOUT_STORE_S = 12.0
 EXPIRY_PERIOD_TICKS = 40
@@ -229,7 +229,7 @@
             return
         job = jobs.Job(spec=spec, cell=cell, bucket=row.at.part)
         # Both rows of a job are written in one transaction, so they share
-        # a version until the holder writes.
+        # a version until the holder writes the row with the progress.
         job.version = row.version
         self.cell.add_job(job)
 
@@ -308,8 +308,9 @@
     def _log_load(self) -> None:
         """Log the load of each worker.
 
-        Of each: serving tasks, runs, free CPU and CPU requested by fillers
-        in cores, free memory in gigabytes.
+        The values of a worker are its number of serving tasks, its number
+        of runs, its free CPU and the CPU that its fillers request, both in
+        cores, and its free memory in gigabytes.
         """
         _LOG.log(
             job_events.CELL_LOAD,
--- a/wisteriawood/cells/interference_models.py
+++ b/wisteriawood/cells/interference_models.py
@@ -2,13 +2,14 @@
 
 A serving task is a task with a bound on its tail latency (tail_target_ms).
 
-The tail latency of a serving task grows like the wait in a queue, by
-1 / (1 - load). The load is the sum of a baseline, which the requests of the
-task's callers cause, and of the load that the fillers on the same worker
-add: each adds its share of the worker's CPU times a weight, which depends on
-the images of both tasks. Each reported tail latency is one measurement of
-this sum. A Kalman filter divides the difference from the expected sum
-between the baseline and the weights, in proportion to their uncertainty.
+The tail latency of a serving task grows like the waiting time in a queue, in
+proportion to 1 / (1 - load). The load is the sum of a baseline, which the
+requests of the task's callers cause, and of the load that the fillers on the
+same worker add: each adds its share of the worker's CPU times a weight, which
+depends on the images of both tasks. Each reported tail latency is one
+measurement of this sum. A Kalman filter attributes the difference between the
+measured and the expected sum to the baseline and the weights, in proportion
+to their uncertainty.
 """
 
 import math
@@ -31,8 +32,9 @@
 MAX_BASELINE_RISE_PER_S = 0.08
 # Highest baseline load expected of an image without reports.
 PRIOR_BASELINE_PEAK = 0.6
-# Share of the difference between a reported load and the peak of its image
-# that is added to the peak, for a load above and below the peak.
+# The peak of an image follows the estimated baseline loads of its tasks: each
+# estimate moves the peak towards it by this fraction of the difference. The
+# first value is for estimates above the peak, the second for those below.
 PEAK_RISE_RATE = 0.2
 PEAK_DECAY_RATE = 0.001
 # Variance of one measurement, including the error of the queueing formula.
@@ -52,11 +54,11 @@
 MAX_KNOWN_DEVIATION = 0.6
 # Updates after which cached sets of incompatible fillers are computed again.
 INCOMPATIBLE_CACHE_UPDATES = 64
-# Pairs shared with other cells; bounds the size of the shared row.
+# Most pairs shared with other cells; bounds the size of the shared row.
 MAX_SHARED_PAIRS = 200
 # Lower bound of the variance of a weight that another cell shared.
 MIN_SHARED_VARIANCE = 0.001
-# Pairs are shared if their variance is below this share of the prior's.
+# Pairs are shared if their variance is below this fraction of the prior's.
 MAX_SHARED_VARIANCE_RATIO = 0.7
 
 Shares = dict[str, float]
@@ -89,7 +91,7 @@
         self.updated_at_s = 0.0
 
     def predict(self, now_s: float) -> None:
-        """Increase the variance by the time since the last report.
+        """Increase the variance for the time since the last report.
 
         Args:
             now_s: Monotonic time.
@@ -178,7 +180,7 @@
         return self._pair(serving, filler).weight
 
     def conservative_weight(self, serving: str, filler: str) -> float:
-        """Return the conservative weight that placement uses for a pair.
+        """Return the weight of a pair, increased for its uncertainty.
 
         Args:
             serving: Image of the serving task.
--- a/wisteriawood/cells/job_writers.py
+++ b/wisteriawood/cells/job_writers.py
@@ -16,9 +16,11 @@
 GROUP_COMMIT_DELAY_S = 0.015
 # Duration from which a transaction counts as slow.
 SLOW_COMMIT_S = 0.3
-# Most rows of jobs in one transaction, besides the row of the claim.
+# Most rows counted for one transaction; the count leaves out the row of the
+# last job and the row of the claim.
 MAX_ROWS = stores.MAX_TRANSACTION_ROWS - 2
-# Bytes of one transaction; base64 adds a third, and the store accepts 1 MB.
+# Most bytes of job rows in one transaction; base64 adds a third, and the store
+# accepts 1 MB.
 MAX_TRANSACTION_BYTES = 600_000
 
 
@@ -28,7 +30,8 @@
     Attributes:
         jobs: The jobs by id.
         extra_rows: Further rows to write with each job, by job id.
-        done: Set once the jobs are in the store or the writer is closed.
+        done: Set once the jobs are in the store, their write has failed or
+            the writer is closed.
         is_saved: Whether the jobs are in the store.
     """
 
@@ -45,8 +48,9 @@
     """Writes the rows of a cell's jobs.
 
     Each bucket has one transaction in progress at a time. A transaction
-    fails if the claim of the cell has changed, or if another host has
-    written one of the jobs.
+    fails if another host has written one of the jobs. In the bucket that is
+    also the partition of the claim's row, it fails too if the claim of the
+    cell has changed.
 
     Args:
         store: The store.
@@ -113,7 +117,8 @@
             batches: The batches.
 
         Raises:
-            CellLostError: The cell has another holder now.
+            CellLostError: The cell has another holder now, or the writer was
+                closed before a batch was stored.
         """
         for batch in batches:
             await batch.done.wait()
--- a/wisteriawood/cells/loads.py
+++ b/wisteriawood/cells/loads.py
@@ -45,7 +45,7 @@
     don't count.
 
     Returns:
-        Work in millicore seconds.
+        Work in millicore-seconds.
     """
     now_s = anyio.current_time()
     return sum(
--- a/wisteriawood/cells/members.py
+++ b/wisteriawood/cells/members.py
@@ -15,7 +15,7 @@
 HEARTBEAT_PERIOD_S = 0.8
 IDLE_HEARTBEAT_PERIOD_S = 1.6
 # Time without a new heartbeat after which a host counts as failed: three
-# heartbeats and the pause of the feed.
+# heartbeat periods and a margin for the pause of the feed.
 HOST_SILENCE_S = 2.6
 # Time after a claim by which a heartbeat of its holder must show the same
 # incarnation.
@@ -27,9 +27,9 @@
     LIVENESS_TIMEOUT_S + IDLE_HEARTBEAT_PERIOD_S - HEARTBEAT_PERIOD_S
 )
 # Age of this host's own newest heartbeat up to which the store counts as
-# accepting its writes: one period and the duration of a slow write.
+# accepting its writes: one idle period and the duration of a slow write.
 MAX_OWN_HEARTBEAT_AGE_S = IDLE_HEARTBEAT_PERIOD_S + 0.8
-# A host with at least this multiple of another's cores is much stronger.
+# A host with at least this multiple of another's cores counts as stronger.
 STRONGER_CORES_RATIO = 1.5
 # Pause of the heartbeat feed between calls, so that one answer brings
 # several heartbeats.
@@ -259,7 +259,7 @@
         return max(1, len(live))
 
     def has_stronger_host(self, cells_held: int) -> bool:
-        """Return whether a much stronger host of the zone could hold a cell.
+        """Return whether a stronger host of the zone could hold a cell.
 
         Args:
             cells_held: Number of cells that this host holds; a host with
--- a/wisteriawood/cells/pacers.py
+++ b/wisteriawood/cells/pacers.py
@@ -12,7 +12,8 @@
 _LOG = events.Logger(name=__name__)
 # Load of a serving task from which the fillers on its worker are slowed down.
 SLOWDOWN_LOAD = interference_models.BOUND_LOAD - 0.035
-# Load to which slowing reduces it, and which speeding up must not exceed.
+# Load at which slowing fillers aims, and which speeding them up must not
+# exceed.
 TARGET_LOAD = interference_models.BOUND_LOAD - 0.08
 # Time over the bound after which all fillers relevant to the task are paused;
 # well below the four seconds after which this counts as a violation.
@@ -81,7 +82,7 @@
     ) -> tuple[runs.Run | None, float]:
         """Return the serving task with the highest load, and that load.
 
-        For a task that has just started and has no tail latency yet, the
+        For a task that has just started or has no tail latency yet, the
         load is estimated from the model.
         """
         shares = worker.filler_shares()
@@ -121,7 +122,8 @@
         """Pause all relevant fillers; stop those that can resume elsewhere.
 
         A filler is relevant if it adds at least MIN_RELEVANT_LOAD or if its
-        weight is unknown. If none of these runs, all fillers are paused.
+        weight is unknown. If all relevant fillers are paused already, the
+        other fillers are paused too.
         """
         affected = [
             run
@@ -148,7 +150,7 @@
         most_loaded: runs.Run,
         load: float,
     ) -> None:
-        """Slow the fillers that add most load, down to the target load."""
+        """Slow the fillers that add most load until TARGET_LOAD is met."""
         excess = load - TARGET_LOAD
         parts = [
             (self._added_load(worker, most_loaded, run), run)
--- a/wisteriawood/cells/placers.py
+++ b/wisteriawood/cells/placers.py
@@ -43,7 +43,8 @@
 
     Standing and timed jobs come first: a standing job loses value whenever it
     does not run. Jobs that can no longer meet their objective, even if all of
-    their remaining tasks started now, come after those that can.
+    their remaining tasks started now, come after those that can. Jobs whose
+    result has no value come last.
 
     Args:
         job: The job.
@@ -66,9 +67,9 @@
         model: Estimates of the load that fillers add to serving tasks.
 
     Attributes:
-        is_intake_idle: Whether no job was submitted recently. Idle
-            filler jobs are started only then, since jobs that can still
-            meet their objective need the CPU more.
+        is_intake_idle: Whether no job was submitted recently. Only then
+            are fillers of idle jobs started beyond the load limits, since
+            jobs that can still meet their objective need the CPU more.
     """
 
     __slots__ = (
@@ -187,6 +188,7 @@
     ) -> int:
         """Place one filler where the load stays lowest, at any load."""
         step = job.step_of(task)
+        # At the time math.inf, all temporary blocks of workers are over.
         candidates = [
             worker
             for worker in self._candidates(job, task, step, usable, math.inf)
@@ -281,7 +283,7 @@
 
 
 def _placement_class(step: specs.StepSpec) -> tuple:
-    """Return the key of steps that fit on the same workers but for CPU.
+    """Return the key of steps whose requirements differ only in CPU.
 
     Memory is rounded down to a multiple of MEMORY_CLASS_MB.
     """
--- a/wisteriawood/cells/probations.py
+++ b/wisteriawood/cells/probations.py
@@ -39,6 +39,6 @@
             return 0.0
         length_s = min(BASE_PROBATION_S * 2**self._probations, MAX_PROBATION_S)
         self._probations += 1
-        # One more failure after the probation starts the next one.
+        # After the probation, a single further failure starts the next one.
         self._failures = PROBATION_FAILURES - 1
         return length_s
--- a/wisteriawood/cells/regrouping.py
+++ b/wisteriawood/cells/regrouping.py
@@ -51,7 +51,8 @@
         """
         if now_s - self._moved_at_s < MOVE_INTERVAL_S:
             return
-        # A stopped task can't be started again while the store is down.
+        # A stopped task starts again only once its row is written, so no
+        # task is moved while writes are slow.
         if not self._cell.writer.is_keeping_up(now_s):
             return
         waiting = self._waiting_filler_millicores()
@@ -157,8 +158,8 @@
     def _can_interrupt(self, run: runs.Run) -> bool:
         """Return whether the task of a run may be interrupted now.
 
-        All other tasks of its step must run at full speed, even if the step
-        allows more missing tasks, to keep the effect on callers small.
+        All tasks of its step must run at full speed, even if the step allows
+        several to be interrupted, to keep the effect on callers small.
         """
         if run.job.is_ended() or run.job.spec.lent_task:
             return False
--- a/wisteriawood/cells/worker_sessions.py
+++ b/wisteriawood/cells/worker_sessions.py
@@ -17,8 +17,8 @@
 # Longest time for which a worker may delay the answer to a renewal; a third of
 # the shortest lease remains after it.
 RENEW_WAIT_MS = 1000
-# The same while fillers run beside a serving task whose tail latency is at
-# this share of its bound or more.
+# Used instead while fillers run beside a serving task whose tail latency is at
+# least HIGH_LATENCY_RATIO of its bound.
 HIGH_LATENCY_WAIT_MS = 400
 HIGH_LATENCY_RATIO = 0.8
 # Longest wait for the commit of ended runs before the next renewal.
@@ -51,6 +51,9 @@
     async def run(self) -> None:
         """Manage the worker until it has left and nothing can run on it.
 
+        The session also ends if another instance of the worker process
+        answers at the worker's address.
+
         Raises:
             CellLostError: The worker has a newer holder.
         """
@@ -74,7 +77,7 @@
         self._end_session()
 
     def _is_finished(self) -> bool:
-        """Return whether the worker has left and its lease has lapsed."""
+        """Return whether the worker left, is silent and its lease lapsed."""
         now_s = anyio.current_time()
         return (
             self._worker.is_gone
--- a/wisteriawood/cells/workers.py
+++ b/wisteriawood/cells/workers.py
@@ -50,7 +50,7 @@
         started_unix_ms: Start of the worker's known process, as wall time; 0
             before its first answer.
         answered_at_s: Monotonic time of the last answer; 0 before the first.
-        commands: Queues the runs to start or stop.
+        commands: Sending end of the queue of runs to start or stop.
         commands_out: Receiving end of that queue.
         free_millicores: CPU that no task has reserved; fillers reserve none.
         free_memory_mb: Memory that no task has reserved.
--- a/wisteriawood/jobs/jobs.py
+++ b/wisteriawood/jobs/jobs.py
@@ -8,7 +8,7 @@
 
 
 class JobState(enum.StrEnum):
-    """States of a job that callers see."""
+    """States of a job; callers see all but REFUSED."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -41,7 +41,7 @@
         bucket: Partition of the store that keeps its rows.
 
     Attributes:
-        state: State that callers see.
+        state: State of the job.
         accepted_at_s: Monotonic time at which it was accepted.
         objective_s: Time after acceptance in which it should complete.
         ended_unix_ms: Wall time of its end; 0 before.
@@ -163,7 +163,7 @@
         )
 
     def ready_steps(self) -> typing.Iterator[list[tasks.Task]]:
-        """Yield the tasks of each step whose earlier steps are done."""
+        """Yield the tasks of each step whose prerequisites are done."""
         if self.is_ended():
             return
         for number, steps in self.occurrences.items():
--- a/wisteriawood/jobs/queues.py
+++ b/wisteriawood/jobs/queues.py
@@ -33,7 +33,7 @@
         target_ms: Constant part of the objective of a job.
         priority: Priority of its jobs; 0 is the highest.
         attempts: Number of failed runs after which a task fails its job.
-        stretch: Factor by which the critical path counts in the objective.
+        stretch: Factor of the critical path in the objective of a job.
         advice: Advice service that approves workers; None if any worker may
             run the tasks.
     """
--- a/wisteriawood/jobs/specs.py
+++ b/wisteriawood/jobs/specs.py
@@ -100,7 +100,7 @@
 
 
 def step_millicore_s(step: StepSpec) -> int:
-    """Return the estimated work of one task of a step, in millicore s.
+    """Return the estimated work of a step's task, in millicore-seconds.
 
     Args:
         step: The step.
@@ -109,7 +109,7 @@
 
 
 def filler_millicore_s(spec: JobSpec) -> int:
-    """Return the estimated work of a job's fillers, in millicore s.
+    """Return the estimated work of a job's fillers, in millicore-seconds.
 
     Args:
         spec: The job.
--- a/wisteriawood/jobs/tasks.py
+++ b/wisteriawood/jobs/tasks.py
@@ -40,7 +40,8 @@
     Attributes:
         phase: Phase of the task.
         run: Number of its newest run; 0 before the first.
-        worker_id: Worker of the newest run while it is assigned.
+        worker_id: Worker of the newest run while the task is assigned; name
+            of the other cell while it is lent; else empty.
         failures: Number of failed runs.
         checkpoint: Checkpoint from which the next run resumes; empty to
             start from the beginning.
