--- a/wisteriawood/machines/allocators.py
+++ b/wisteriawood/machines/allocators.py
@@ -21,8 +21,8 @@
 from wisteriawood.policies import registry
 from wisteriawood.policies import sizes
 
-# Waiting time after which a worker is reserved for a task that does not fit
-# on any worker.
+# Waiting time after which a worker is reserved for a task if no worker has
+# enough free capacity for it.
 RESERVE_WORKER_AFTER_S = 30.0
 # Time after which a reservation ends and the worker accepts other tasks.
 RESERVATION_TIMEOUT_S = 300.0
@@ -142,8 +142,8 @@
                 rng=rng, team_quotas=self.quotas
             ),
         )
-        # By class; those under "" are of insufficient capacity and apply to
-        # all classes.
+        # Failures by class. Those for lack of capacity are stored under ""
+        # and apply to all classes.
         self._cached_failures: dict[str, list[PlacementFailure]] = {}
         self._reclaim_count = 0
         self.zone_capacity = resources.NOTHING
--- a/wisteriawood/machines/announcements.py
+++ b/wisteriawood/machines/announcements.py
@@ -19,8 +19,8 @@
     requests.MAX_REQUEST_S,
 )
 ANNOUNCE_TIMEOUT_S = 1.0
-# Time that a request may take between its start here and the target,
-# in addition to the announced time.
+# Margin for the delay between this process and the target; an announced time
+# stays required for this much longer than the request may take.
 SEND_MARGIN_S = 3.0
 
 
@@ -41,12 +41,12 @@
     """The longest time that requests may take, announced in the member row.
 
     Once this process has died, a grantor counts its slots as held for that
-    time and no longer. Therefore a longer request is sent only after the
-    row has been raised, and the row is lowered only when no request that
-    needs the longer time can be running.
+    time and no longer. Therefore a longer request is sent only after a
+    longer time has been announced, and a shorter time is announced only
+    when no request that needs the longer one can be running.
 
     Args:
-        members: Membership of the entry host; its row has the time.
+        members: Membership of the entry host; its row contains the time.
         get_longest_deadline_s: Returns the longest deadline in seconds
             that the configuration gives.
     """
--- a/wisteriawood/machines/cancellations.py
+++ b/wisteriawood/machines/cancellations.py
@@ -27,7 +27,7 @@
     """Processes the requests to cancel tasks of one zone.
 
     The row of a request is deleted in the transaction that ends its task.
-    Until then, any later holder of the task finds the request.
+    Until then, any later holder of the task's rack finds the request.
 
     Args:
         scheduler: The scheduler whose tasks are cancelled.
@@ -87,8 +87,8 @@
         """Cancel the tasks on this scheduler's workers.
 
         Returns:
-            The requests for other tasks that this scheduler is preferred
-            to process.
+            The requests for other tasks that rendezvous hashing assigns to
+            this scheduler.
         """
         here = {
             task_id: worker
--- a/wisteriawood/machines/evictions.py
+++ b/wisteriawood/machines/evictions.py
@@ -220,7 +220,7 @@
         reason: str,
         now_s: float,
     ) -> bool:
-        """Order the eviction with the best ratio of harm to cost.
+        """Order the eviction with the highest ratio of harm to cost.
 
         Args:
             entry: The worker's entry.
--- a/wisteriawood/machines/grantors.py
+++ b/wisteriawood/machines/grantors.py
@@ -103,7 +103,7 @@
         return list(found.values())
 
     def review(self) -> None:
-        """Update the ledgers for changed racks, members and expired times."""
+        """Update the ledgers for changed racks, members and time limits."""
         now_s = anyio.current_time()
         self._sync_ledgers(now_s)
         for holder in list(self.holders.values()):
@@ -224,7 +224,7 @@
         """Serve the link to an entry host until it is closed.
 
         Args:
-            hello: The entry host's hello.
+            hello: The entry host's Hello message.
             channel: Channel to the entry host.
 
         Raises:
--- a/wisteriawood/machines/indexes.py
+++ b/wisteriawood/machines/indexes.py
@@ -176,7 +176,8 @@
         if entry is None:
             entry = self.entries[worker.name] = IndexEntry(worker=worker)
             self.capacity = self.capacity + worker.capacity
-        # A change of the worker's allocations or capacity replaces free.
+        # The worker replaces its free resources by a new object whenever its
+        # allocations or its capacity change.
         if entry.free is not worker.free:
             entry.free = worker.free
             entry.changed_at_s = now_s
--- a/wisteriawood/machines/intakes.py
+++ b/wisteriawood/machines/intakes.py
@@ -245,14 +245,14 @@
     def _choose_cell(
         self, spec: specs.JobSpec, bucket: str
     ) -> tuple[str, base.CellView | None]:
-        """Return the cell for a job, and the state of the cell.
+        """Return the cell for a job, and the load of the cell.
 
         The balancer chooses among the cells that have workers and a live
         holder. If the job names racks and the cell in their zone is one of
         these, it is the only candidate.
 
         Returns:
-            The cell and its state; None as the state if no cell has both
+            The cell and its load; None as the load if no cell has both
             workers and a live holder.
         """
         service = spec.queue.service
@@ -308,6 +308,8 @@
     async def cancel(self, job_id: str, timeout_s: float) -> None:
         """Cancel a job; the request is stored on return.
 
+        Does nothing if the job has ended.
+
         Args:
             job_id: Id of the job.
             timeout_s: Time for which the caller waits.
--- a/wisteriawood/machines/job_hosts.py
+++ b/wisteriawood/machines/job_hosts.py
@@ -32,7 +32,7 @@
 # it releases the cell for a better holder.
 RELEASE_DELAY_S = 2.0
 # Time without an answer of the store after which callers are refused at
-# once; the feed retries several times within it.
+# once; the heartbeat feed retries several times within it.
 STORE_UNREACHABLE_S = 1.0
 # Greatest age of the store's newest answer at which the host is ready.
 READY_ANSWER_AGE_S = 2.5
@@ -158,7 +158,7 @@
         }
 
     def open_cells(self) -> list[str]:
-        """Return the names of the cells that this host manages."""
+        """Return the names of the cells that this host has opened."""
         return [name for name, h in self._holders.items() if h.is_open]
 
     def is_holding(self) -> bool:
@@ -174,7 +174,7 @@
         return bool(self._workers_of(cell))
 
     def zone_of_racks(self, racks: set[str]) -> str:
-        """Return the zone with most workers in given racks; empty if none.
+        """Return the zone with the most workers in some racks, or empty.
 
         Args:
             racks: Names of racks.
@@ -267,7 +267,7 @@
             }
 
     def _check_held(self, cell: str) -> None:
-        """Release a held cell if another host holds it or should hold it."""
+        """Stop holding a cell that another host has claimed or should hold."""
         claim = self.members.claims.get(cell)
         held = self._holders[cell].cell.claim
         if claim is not None and claim.version > held.version:
--- a/wisteriawood/machines/late_answer_links.py
+++ b/wisteriawood/machines/late_answer_links.py
@@ -1,4 +1,4 @@
-"""Links to targets that also receive answers after the deadline."""
+"""Target links that also accept answers after the deadline."""
 
 import dataclasses
 import typing
--- a/wisteriawood/machines/leases.py
+++ b/wisteriawood/machines/leases.py
@@ -22,10 +22,10 @@
 ) -> None:
     """Renew the leases of running attempts with one command.
 
-    A scheduler with authority over the rack grants leases of LEASE_S. One
-    without extends them up to the horizon, counted from the end of the
-    last term in which the rack was certainly held, and no further, because
-    the next holder waits exactly that long.
+    A scheduler with authority over the rack grants leases of LEASE_S. A
+    scheduler without it extends them only up to the horizon, because the
+    next holder waits exactly that long. The horizon is counted from the end
+    of the last term in which the rack was certainly held.
 
     Args:
         scheduler: The scheduler that holds the rack.
--- a/wisteriawood/machines/monitors.py
+++ b/wisteriawood/machines/monitors.py
@@ -196,7 +196,7 @@
     def _update_allocations(
         self, entry: indexes.IndexEntry, now_s: float
     ) -> None:
-        """Allocate what tasks were measured to use."""
+        """Adjust allocations to the measured use; memory gets a margin."""
         worker = entry.worker
         min_change_cores = MIN_CORES_CHANGE_SHARE * worker.capacity.cores
         for task_id, placement in list(worker.placements.items()):
@@ -307,7 +307,10 @@
         )
 
     def _remove_throttles(self, entry: indexes.IndexEntry) -> None:
-        """Remove the throttling of jobs on a worker without services."""
+        """Remove all throttles on a worker.
+
+        To be called only if it runs no service whose slowdown is known.
+        """
         worker = entry.worker
         throttled = [
             task
--- a/wisteriawood/machines/outliers.py
+++ b/wisteriawood/machines/outliers.py
@@ -50,7 +50,7 @@
 
 
 def stall_timeout_s(*, p99_s: float) -> float:
-    """Return the time without an answer after which a target is stalled.
+    """Return the time after which a target without answers is stalled.
 
     Args:
         p99_s: 99th percentile of the service's latency in seconds; 0 while
--- a/wisteriawood/machines/probations.py
+++ b/wisteriawood/machines/probations.py
@@ -1,10 +1,10 @@
-"""Probation of workers on which several jobs failed."""
+"""Probation of workers on which several tasks failed."""
 
 import dataclasses
 
-# Distinct jobs that fail on a worker before it is put on probation.
+# Distinct tasks that fail on a worker before it is put on probation.
 FAILED_JOBS_FOR_PROBATION = 3
-# Distinct workers on which a job fails before its failures no longer count
+# Distinct workers on which a task fails before its failures no longer count
 # against a worker.
 FAILED_WORKERS_FOR_FAULTY_JOB = 3
 # Time for which a failure counts against a worker.
@@ -13,7 +13,7 @@
 MAX_PROBATION_S = 3600.0
 # Share of the workers that may be on probation at once, at least one worker.
 MAX_PROBATION_SHARE = 0.2
-# Jobs whose failures are kept; the oldest are dropped first.
+# Tasks whose failures are kept; the oldest are dropped first.
 MAX_TRACKED_JOBS = 20_000
 
 
@@ -22,7 +22,7 @@
     """Failures and probation of one worker.
 
     Attributes:
-        failed_at_s: Monotonic time of the newest failure of each job.
+        failed_at_s: Monotonic time of the newest failure of each task.
         until_s: Monotonic time at which the probation ends.
         length_s: Length of the latest probation in seconds.
     """
@@ -33,7 +33,7 @@
 
 
 class Probations:
-    """Attributes failures of attempts to workers or to jobs."""
+    """Decides whether failed attempts are due to workers or to tasks."""
 
     __slots__ = ("_failed_workers", "_records")
 
@@ -116,7 +116,7 @@
         return record is not None and record.until_s > now_s
 
     def is_faulty(self, task: str) -> bool:
-        """Return whether a job failed on enough workers to count as faulty.
+        """Return whether a task failed on enough workers to count as faulty.
 
         Args:
             task: Id of the task.
@@ -127,7 +127,7 @@
         )
 
     def failed_workers(self, task: str) -> set[str]:
-        """Return the workers on which a job has failed.
+        """Return the workers on which a task has failed.
 
         Args:
             task: Id of the task.
--- a/wisteriawood/machines/queues.py
+++ b/wisteriawood/machines/queues.py
@@ -123,7 +123,7 @@
     def by_share(
         self, share: typing.Callable[[str], float]
     ) -> typing.Iterator[PendingTask]:
-        """Yield tasks that are not urgent, the team of least share first.
+        """Yield tasks that are not urgent, the team with least share first.
 
         The share of a team is read again after each of its tasks, so that
         tasks placed in the meantime count.
--- a/wisteriawood/machines/racks.py
+++ b/wisteriawood/machines/racks.py
@@ -16,8 +16,9 @@
     Args:
         holding: The row by which it is held.
         version: Version of that row.
-        former_holder: Member row of the previous holder, unless that is proved
-            dead: it may still renew the leases of attempts it started.
+        former_holder: Member row of the former holder, which may still renew
+            the leases of attempts that it started; None if it is unknown or
+            proved dead.
     """
 
     __slots__ = (
@@ -47,8 +48,8 @@
         self.former_leases_until_s = 0.0
         # Monotonic time until which a former holder may renew leases.
         self.former_renews_until_s = 0.0
-        # Monotonic end of the newest term in which the rack was certainly
-        # held.
+        # Monotonic time at which the newest term ends in which the rack was
+        # certainly held.
         self.term_ends_s = 0.0
         # Monotonic start of the uninterrupted term in which the rack's row
         # was last verified.
--- a/wisteriawood/machines/request_queues.py
+++ b/wisteriawood/machines/request_queues.py
@@ -180,7 +180,7 @@
         return min(waiting_shares, key=_rank).waiters[0]
 
     def ahead(self, request: requests.Request) -> float:
-        """Estimate how many waiting requests get a slot before another.
+        """Estimate how many waiting requests get a slot before a new one.
 
         While the earlier requests of its own team are served, the other
         waiting teams are served in proportion to their weights.
--- a/wisteriawood/machines/schedulers.py
+++ b/wisteriawood/machines/schedulers.py
@@ -41,16 +41,17 @@
 # Minimum pause between two reconciliations of a worker, so that one
 # inventory call covers many starts.
 RECONCILE_PAUSE_S = 0.1
-# Time limits at shutdown: for releasing the racks, and then for each of
-# extending the remaining leases and publishing the final state.
+# Time limit at shutdown for releasing the racks.
 RELEASE_MAX_S = 5.0
+# Time limit of each step that follows: extending the leases on racks that
+# were not released, and publishing the final state.
 SHUTDOWN_STEP_MAX_S = 3.0
 
 _LOG = events.Logger(name=__name__)
 
 
 class Scheduler:
-    """Holds racks of one zone, runs tasks on them and grants their slots.
+    """Holds racks of a zone, runs tasks there and grants targets' slots.
 
     Args:
         platform: Link to the platform.
--- a/wisteriawood/machines/services.py
+++ b/wisteriawood/machines/services.py
@@ -35,8 +35,7 @@
         latency_s: Seconds until the complete answer; NaN if there was none.
         is_done: Whether the target is known to have finished the request;
             False where the outcome is unknown.
-        until_s: Monotonic time by which the target must have stopped
-            working on the request.
+        until_s: Monotonic time in seconds of the attempt's deadline.
     """
 
     verdict: outliers.Verdict = outliers.Verdict.INCONCLUSIVE
--- a/wisteriawood/machines/shares.py
+++ b/wisteriawood/machines/shares.py
@@ -122,9 +122,9 @@
     def allot(self, *, holder: str, fair: int, free: int) -> int:
         """Set a holder's grant and return it.
 
-        A grant grows by no more than the free slots. It shrinks only when
-        the fair share is at least one whole slot lower, so that small
-        fluctuations of demand move no slots.
+        A grant grows by no more than the free slots, and shrinks to the
+        fair share at once. A fair share is a whole number, so that most
+        small fluctuations of demand move no slots.
 
         Args:
             holder: Incarnation of the entry host.
--- a/wisteriawood/machines/slot_clients.py
+++ b/wisteriawood/machines/slot_clients.py
@@ -25,8 +25,8 @@
 ANSWER_TIMEOUT_S = 2.0
 REDIAL_PERIOD_S = 0.5
 REVIEW_PERIOD_S = 0.25
-# Time before the end of a term at which the rack's row is read, to find
-# out whether the grantor still holds the rack.
+# Time before the end of the slot term at which the rack's row is read, to
+# find out whether the grantor still holds the rack.
 HOLDING_CHECK_LEAD_S = 3.0
 # Lower bound of the demand in a report, as a share of the previous one.
 DEMAND_DECAY_FACTOR = 0.8
@@ -222,7 +222,7 @@
         for answer in session.answers:
             rack = self.racks[answer.rack]
             if rack.epoch == answer.epoch:
-                # The grantor counts this term from this report on.
+                # The grantor counts the slot term from this report on.
                 rack.shorten(until_s=now_s + terms.SLOT_TERM_S)
         session.answers = []
         for target in self.targets.values():
--- a/wisteriawood/machines/targets.py
+++ b/wisteriawood/machines/targets.py
@@ -15,7 +15,7 @@
 
     A slot whose request has an unknown outcome is quarantined: it stays
     occupied until the target answers or, if the call has failed, until the
-    deadline of the request.
+    deadline of the attempt.
 
     Args:
         grant: Latest grant of its slots.
@@ -83,8 +83,9 @@
         Args:
             is_done: Whether the target is known to have finished the
                 request; False where its outcome is unknown.
-            until_s: Monotonic time in seconds at which the quarantine
-                ends at the latest: the deadline of the request.
+            until_s: Monotonic time in seconds of the attempt's deadline.
+                The quarantine ends by then or, if a call continues beyond
+                it, once that call has ended.
         """
         if is_done or self._early_ends:
             self._early_ends -= not is_done
--- a/wisteriawood/machines/transitions.py
+++ b/wisteriawood/machines/transitions.py
@@ -227,7 +227,7 @@
     """Requeue a failed task, or end it when it has no retries left.
 
     It has none after MAX_FAILURES failed attempts, or failures on
-    MAX_FAILED_WORKERS different workers.
+    MAX_FAILED_WORKERS different workers. A cancelled task ends as cancelled.
 
     Args:
         scheduler: The scheduler that holds the rack.
@@ -338,7 +338,7 @@
     task = rows.from_value(row.value, tasks.Task)
     if task.epoch > rack.holding.epoch:
         # Another scheduler holds the rack by now; the next check of the
-        # racks removes it here.
+        # racks removes the rack here.
         return
     placement.task = task
     placement.version = row.version
--- a/wisteriawood/machines/workers.py
+++ b/wisteriawood/machines/workers.py
@@ -209,7 +209,7 @@
     def request_eviction(self, task: str, reason: str) -> bool:
         """Order the eviction of a task.
 
-        The coroutine that serves this worker writes a checkpoint, stops the
+        The loop that reconciles this worker writes a checkpoint, stops the
         attempt and, once the attempt is known to have stopped, returns the
         task to the queue.
 
@@ -261,6 +261,6 @@
         return True
 
     def wake(self) -> None:
-        """Wake the coroutine that serves this worker."""
+        """Wake the loop that reconciles this worker."""
         self.wakeup.set()
         self.wakeup = anyio.Event()
--- a/wisteriawood/policies/interference.py
+++ b/wisteriawood/policies/interference.py
@@ -12,8 +12,8 @@
 
 # Harm assumed of an aggressor without measurements.
 PRIOR_HARM = 0.15
-# Shares of each correction by which the estimate of the aggressor over all
-# victims and the estimate of the pair are changed.
+# Shares of a correction that are applied to the estimate of the aggressor
+# over all victims, and to the estimate of the pair.
 AGGRESSOR_LEARNING_RATE = 0.05
 PAIR_LEARNING_RATE = 0.3
 PAIR_HALF_LIFE_S = 3600.0
--- a/wisteriawood/policies/placement/base.py
+++ b/wisteriawood/policies/placement/base.py
@@ -19,12 +19,12 @@
 
     Attributes:
         spec: The task.
-        needs: Resources to reserve for it.
+        needs: Resources to allocate for it.
         candidates: Workers to choose from; None for all.
         avoid: Names of workers on which it failed.
         now_s: Monotonic time in seconds.
         share: Share of its resources that it starts with, 0 to 1.
-        waited_s: Seconds that it has been pending.
+        waited_s: Seconds for which it has waited.
     """
 
     spec: tasks.TaskSpec
@@ -84,7 +84,7 @@
 
 
 class HarmError(errors.PlacementError):
-    """The task would slow services by more than their team allows."""
+    """The task would slow its neighbours by more than is allowed."""
 
 
 def insufficient_capacity_error(
@@ -116,8 +116,8 @@
 
         Raises:
             InsufficientCapacityError: The task fits on no worker.
-            HarmError: It would slow services by more than their team
-                allows.
+            HarmError: It would slow its neighbours by more than is
+                allowed.
         """
 
 
--- a/wisteriawood/policies/placement/least_harm.py
+++ b/wisteriawood/policies/placement/least_harm.py
@@ -18,10 +18,10 @@
 ALLOWED_SLOWDOWN = 1.08
 # Weight of a batch job that uses a whole worker, relative to one service.
 BATCH_WEIGHT = 4.0
-# Cost of another instance of a group on the same worker, multiplied by the
-# square of the number of instances there, and cost for each instance in the
-# same rack.
+# Cost of instances of the same group on a worker, multiplied by the square of
+# their number.
 SAME_WORKER_COST = 0.04
+# Cost of each instance of the same group in the worker's rack.
 SAME_RACK_COST = 0.4
 # Cost of the first service on a worker: batch jobs that slow services can no
 # longer be placed there.
@@ -59,8 +59,8 @@
     The cost adds the predicted slowdowns of the task and of its neighbours,
     weighted by their teams, and terms for spreading and packing.
 
-    Batch jobs are not placed where they would slow a service by more than
-    its team allows; they remain pending instead.
+    Batch jobs that are not urgent are not placed where they would slow a
+    service by more than its team allows; they wait instead.
 
     Args:
         rng: Not used; the index draws the sample.
--- a/wisteriawood/policies/sizes.py
+++ b/wisteriawood/policies/sizes.py
@@ -57,7 +57,7 @@
     """Peak usage of the tasks of one class.
 
     Attributes:
-        count: Number of tasks observed.
+        count: Number of samples; a long task adds several.
         cores: Cores used.
         cores_ratio: Cores used, divided by those declared.
         memory_bytes: Memory used.
@@ -86,8 +86,8 @@
     For each class it records the usage itself and the ratio of the usage to
     the declared needs. For cores it uses the one that varies less, for
     memory the one that predicts less. So it predicts closely both for
-    classes whose tasks are alike and for classes whose declarations are off
-    by a constant factor.
+    classes whose tasks are alike and for classes whose declared needs differ
+    from the usage by a constant factor.
     """
 
     __slots__ = ("_classes",)
@@ -114,12 +114,12 @@
         declared: resources.Resources,
         used: resources.Resources,
     ) -> None:
-        """Record the peak usage of one task.
+        """Record a sample of the peak usage of a task.
 
         Args:
             name: Class of the task.
             declared: Resources that it declared.
-            used: Resources that it used at its peak.
+            used: Highest use of each resource so far.
         """
         found = self._classes.get(name)
         if found is None:
@@ -137,7 +137,7 @@
     def predict(
         self, name: str, declared: resources.Resources
     ) -> resources.Resources:
-        """Return the resources to reserve for a task.
+        """Return the resources to allocate for a task.
 
         Args:
             name: Class of the task.
--- a/wisteriawood/policies/throttling/base.py
+++ b/wisteriawood/policies/throttling/base.py
@@ -5,8 +5,8 @@
 
 from wisteriawood.policies import registry
 
-# Slowdown of the services, as a logarithm, below which a job is neither
-# throttled nor evicted.
+# A job that causes less slowdown of the services than this, as a logarithm, is
+# neither throttled nor evicted.
 MIN_HARM = 0.004
 
 
--- a/wisteriawood/policies/throttling/step_down.py
+++ b/wisteriawood/policies/throttling/step_down.py
@@ -111,7 +111,8 @@
         if harmful and view.now_s - state.slowed_since_s >= EVICT_AFTER_S:
             state.acted_at_s = view.now_s
             return base.Decision(evict=True)
-        # None of the batch jobs here causes the slowdown.
+        # No batch job here causes the slowdown, or EVICT_AFTER_S have not
+        # passed yet.
         return base.Decision()
 
     def _release(
--- a/wisteriawood/zones/claims.py
+++ b/wisteriawood/zones/claims.py
@@ -138,11 +138,11 @@
     Attributes:
         holding: The rack's row as it was read.
         version: Version of that row; 0 if there is none.
-        former_holder: The previous holder, unless its process is known to have
-            ended.
-        lease_left_s: Seconds until all leases of previous holders have
+        former_holder: Member row of the former holder; None if it is unknown
+            or its process has ended.
+        lease_left_s: Seconds until all leases of former holders have
             expired.
-        former_renews_s: Seconds for which a previous holder may still renew
+        former_renews_s: Seconds for which a former holder may still renew
             leases.
         conditions: Further conditions of the transaction.
     """
--- a/wisteriawood/zones/configuration_followers.py
+++ b/wisteriawood/zones/configuration_followers.py
@@ -158,8 +158,9 @@
         changes = await config_links.read_changes(
             self._platform, after=self.version
         )
-        # The platform stores only the newest changes. If the one after the
-        # own version has been deleted already, read the whole document.
+        # The platform stores only the newest changes. If the one that
+        # follows this daemon's version has been deleted, read the whole
+        # document.
         if changes and changes[0].version > self.version + 1:
             self._apply_snapshot(
                 await config_links.read_newest(self._platform)
--- a/wisteriawood/zones/membership.py
+++ b/wisteriawood/zones/membership.py
@@ -158,7 +158,7 @@
         ]
 
     async def run(self) -> None:
-        """Renew the own row and read the others until cancelled."""
+        """Renew the daemon's row and read the others until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._renew_periodically)
             group.start_soon(self._scan_periodically)
@@ -180,7 +180,7 @@
         self._was_held = is_held
 
     def request_renewal(self) -> None:
-        """Have the own row written at once because it has changed."""
+        """Have the daemon's row written at once because it has changed."""
         self._renewal_due.set()
 
     async def _scan_periodically(self) -> None:
@@ -203,7 +203,7 @@
         self._reachable = True
 
     async def renew(self) -> None:
-        """Write the own row once and confirm the term.
+        """Write the daemon's row once and confirm the term.
 
         Raises:
             PlatformError: The row was not written.
--- a/wisteriawood/zones/peering.py
+++ b/wisteriawood/zones/peering.py
@@ -234,7 +234,7 @@
             self._group.start_soon(self._maintain_link, address)
 
     async def _maintain_link(self, address: str) -> None:
-        """Maintain the link to one address while it is chosen."""
+        """Maintain the link to an address while it is chosen or fixed."""
         logged_reason = ""
         while address in self._chosen_addresses or address in self._addresses:
             key = self._keys_by_address.get(address, "")
@@ -334,7 +334,7 @@
         peer.closed.set()
 
     def _is_preferred(self, new: Peer, old: Peer) -> bool:
-        # Both ends keep the link that the smaller key has opened.
+        # Both keep the link that the daemon with the smaller key has opened.
         if new.is_dialled == old.is_dialled:
             return True
         if new.member.incarnation != old.member.incarnation:
