--- a/wisteriawood/bench/colocations.py
+++ b/wisteriawood/bench/colocations.py
@@ -268,7 +268,7 @@
             reports = delayed.popleft()
             if (second + number) % REPORT_PERIOD_S == 0 and reports:
                 self.monitor.observe(worker, reports, now_s=self.now_s)
-        self.monitor.keep_only(self._tasks.keys())
+        self.monitor.forget_except(self._tasks.keys())
 
     def _neighbours(
         self, worker: workers.Worker
--- a/wisteriawood/cells/placers.py
+++ b/wisteriawood/cells/placers.py
@@ -25,7 +25,7 @@
 # together they use less CPU than one at full speed.
 MAX_PINNED_PER_WORKER = 4
 # Multiple of its objective after which the result of a job has no value.
-EXPIRY_FACTOR = 3.0
+NO_VALUE_FACTOR = 3.0
 
 
 def has_no_value(job: jobs.Job, now_s: float) -> bool:
@@ -35,7 +35,7 @@
         job: The job.
         now_s: Monotonic time.
     """
-    return now_s - job.accepted_at_s > EXPIRY_FACTOR * job.objective_s
+    return now_s - job.accepted_at_s > NO_VALUE_FACTOR * job.objective_s
 
 
 def start_order(job: jobs.Job, now_s: float) -> tuple:
--- a/wisteriawood/cells/worker_sessions.py
+++ b/wisteriawood/cells/worker_sessions.py
@@ -232,7 +232,7 @@
         """Drop the runs and counters of a worker that has restarted."""
         worker = self._worker
         _LOG.log(
-            job_events.RUN_WORKER_REBORN,
+            job_events.RUN_WORKER_RESTARTED,
             worker=worker.id,
             runs=len(worker.runs),
         )
--- a/wisteriawood/machines/allocators.py
+++ b/wisteriawood/machines/allocators.py
@@ -195,14 +195,14 @@
         if waiting is not None and waiting.reserved_worker:
             self.index.reserve(waiting.reserved_worker, "")
 
-    def keep_only(self, placed: set[str]) -> None:
+    def forget_except(self, placed: set[str]) -> None:
         """Discard the state of tasks that are no longer on a worker.
 
         Args:
             placed: Ids of the tasks that are on workers.
         """
-        self.evictions.keep_only(placed)
-        self.slow_starts.keep_only(placed)
+        self.evictions.forget_except(placed)
+        self.slow_starts.forget_except(placed)
 
     def predict_needs(self, spec: tasks.TaskSpec) -> resources.Resources:
         """Return the resources to allocate for a task.
--- a/wisteriawood/machines/evictions.py
+++ b/wisteriawood/machines/evictions.py
@@ -74,7 +74,7 @@
         """
         self._started_at_s[task] = now_s
 
-    def keep_only(self, placed: set[str]) -> None:
+    def forget_except(self, placed: set[str]) -> None:
         """Discard the state of tasks that are no longer on a worker.
 
         Args:
--- a/wisteriawood/machines/indexes.py
+++ b/wisteriawood/machines/indexes.py
@@ -78,8 +78,8 @@
         log_slowdowns: Predicted logarithm of the slowdown of each class on it.
         changed_at_s: Monotonic time at which its tasks last changed.
         is_blocked: Whether it is on probation and gets no tasks.
-        has_slowed_services: Whether services on it are slowed or batch jobs
-            throttled, so that batch jobs which are not urgent stay away.
+        blocks_batch_jobs: Whether it gets no batch jobs other than urgent
+            ones, because services on it are slowed or batch jobs throttled.
     """
 
     worker: workers.Worker
@@ -97,7 +97,7 @@
     log_slowdowns: dict[str, float] = dataclasses.field(default_factory=dict)
     changed_at_s: float = 0.0
     is_blocked: bool = False
-    has_slowed_services: bool = False
+    blocks_batch_jobs: bool = False
 
 
 def _add_neighbour(entry: IndexEntry, placement: workers.Placement) -> None:
--- a/wisteriawood/machines/monitors.py
+++ b/wisteriawood/machines/monitors.py
@@ -94,7 +94,7 @@
         observed.latency_slowdown = slowdown
         observed.latency_measured_at_s = now_s
 
-    def keep_only(self, placed: set[str]) -> None:
+    def forget_except(self, placed: set[str]) -> None:
         """Discard the state of tasks that are no longer on a worker.
 
         Args:
@@ -102,7 +102,7 @@
         """
         for task in self._observations.keys() - placed:
             del self._observations[task]
-        self._allocator.keep_only(placed)
+        self._allocator.forget_except(placed)
 
     def observe(
         self,
@@ -271,7 +271,7 @@
     ) -> None:
         excess_by_service = self._excess_by_service(entry)
         if not excess_by_service:
-            entry.has_slowed_services = False
+            entry.blocks_batch_jobs = False
             self._remove_throttles(entry)
             return
         excess = max(excess_by_service.values())
@@ -285,7 +285,7 @@
             )
         )
         for throttle in decision.throttles:
-            entry.worker.order_throttle(throttle.task, throttle.share)
+            entry.worker.request_throttle(throttle.task, throttle.share)
             _LOG.log(
                 events.TASK_THROTTLED, task=throttle.task, share=throttle.share
             )
@@ -302,7 +302,7 @@
                 reason="slows services, though throttled",
                 now_s=now_s,
             )
-        entry.has_slowed_services = excess > 1.0 or any(
+        entry.blocks_batch_jobs = excess > 1.0 or any(
             aggressor.share < 1.0 for aggressor in aggressors
         )
 
@@ -318,7 +318,7 @@
             if placement.throttle < 1.0
         ]
         for task in throttled:
-            worker.order_throttle(task, 1.0)
+            worker.request_throttle(task, 1.0)
         if throttled:
             self._allocator.index.refresh_usage(entry)
 
--- a/wisteriawood/machines/placers.py
+++ b/wisteriawood/machines/placers.py
@@ -347,4 +347,4 @@
                     self.monitor.observe(
                         worker, list(worker.usage.values()), now_s=now_s
                     )
-            self.monitor.keep_only(placed)
+            self.monitor.forget_except(placed)
--- a/wisteriawood/machines/probations.py
+++ b/wisteriawood/machines/probations.py
@@ -3,10 +3,10 @@
 import dataclasses
 
 # Distinct tasks that fail on a worker before it is put on probation.
-FAILED_JOBS_FOR_PROBATION = 3
+FAILED_TASKS_FOR_PROBATION = 3
 # Distinct workers on which a task fails before its failures no longer count
 # against a worker.
-FAILED_WORKERS_FOR_FAULTY_JOB = 3
+FAILED_WORKERS_FOR_FAULTY_TASK = 3
 # Time for which a failure counts against a worker.
 FAILURE_WINDOW_S = 600.0
 FIRST_PROBATION_S = 60.0
@@ -14,7 +14,7 @@
 # Share of the workers that may be on probation at once, at least one worker.
 MAX_PROBATION_SHARE = 0.2
 # Tasks whose failures are kept; the oldest are dropped first.
-MAX_TRACKED_JOBS = 20_000
+MAX_TRACKED_TASKS = 20_000
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -55,7 +55,7 @@
         Returns:
             Whether the worker is put on probation by this failure.
         """
-        if len(self._failed_workers) >= MAX_TRACKED_JOBS:
+        if len(self._failed_workers) >= MAX_TRACKED_TASKS:
             self._failed_workers.pop(next(iter(self._failed_workers)))
         self._failed_workers.setdefault(task, set()).add(worker)
         record = self._records.setdefault(worker, FailureRecord())
@@ -69,7 +69,7 @@
             job for job in record.failed_at_s if not self.is_faulty(job)
         ]
         if (
-            len(failed_jobs) < FAILED_JOBS_FOR_PROBATION
+            len(failed_jobs) < FAILED_TASKS_FOR_PROBATION
             or record.until_s > now_s
         ):
             return False
@@ -123,7 +123,7 @@
         """
         return (
             len(self._failed_workers.get(task, ()))
-            >= FAILED_WORKERS_FOR_FAULTY_JOB
+            >= FAILED_WORKERS_FOR_FAULTY_TASK
         )
 
     def failed_workers(self, task: str) -> set[str]:
--- a/wisteriawood/machines/slow_starts.py
+++ b/wisteriawood/machines/slow_starts.py
@@ -62,7 +62,7 @@
         if unmeasured is not None:
             unmeasured.pop(spec.id, None)
 
-    def keep_only(self, placed: set[str]) -> None:
+    def forget_except(self, placed: set[str]) -> None:
         """Discard the state of tasks that are no longer on a worker.
 
         Args:
--- a/wisteriawood/machines/workers.py
+++ b/wisteriawood/machines/workers.py
@@ -240,8 +240,8 @@
             placement.is_cancelled = True
             self.wake()
 
-    def order_throttle(self, task: str, share: float) -> bool:
-        """Order the throttling of a task.
+    def request_throttle(self, task: str, share: float) -> bool:
+        """Request the throttling of a task.
 
         The limit is sent again until the worker reports it.
 
--- a/wisteriawood/policies/placement/least_harm.py
+++ b/wisteriawood/policies/placement/least_harm.py
@@ -108,7 +108,7 @@
     ) -> float:
         spec = request.spec
         is_batch = spec.kind == tasks.TaskKind.BATCH
-        if is_batch and entry.has_slowed_services and not spec.urgent:
+        if is_batch and entry.blocks_batch_jobs and not spec.urgent:
             return math.inf
         if request.share < 1.0 and not entry.groups:
             # Throttling protects services only; a job that would slow other
--- a/wisteriawood/telemetry/job_events.py
+++ b/wisteriawood/telemetry/job_events.py
@@ -99,7 +99,7 @@
     "A worker does not answer; the resources of its runs stay reserved.",
     "Check the worker; its runs move once its lease has expired.",
 )
-RUN_WORKER_REBORN = events.define(
+RUN_WORKER_RESTARTED = events.define(
     2203,
     "run-worker-reborn",
     "A worker has restarted; all runs of its previous instance have ended.",
--- a/wisteriawood/tests/admission_tests.py
+++ b/wisteriawood/tests/admission_tests.py
@@ -77,7 +77,7 @@
                 cell.add_job(job)
             before = loads.report(cell)["backlog"]
             old.accepted_at_s -= (
-                2 * placers.EXPIRY_FACTOR * old.objective_s + 1
+                2 * placers.NO_VALUE_FACTOR * old.objective_s + 1
             )
             after = loads.report(cell)["backlog"]
             self.assertEqual((before, after), (44000, 4000))
--- a/wisteriawood/tests/faults/__init__.py
+++ b/wisteriawood/tests/faults/__init__.py
@@ -1,1 +1,4 @@
-"""The fault matrix: each fault is injected at each step."""
+"""Fault tests.
+
+The fault matrix injects each fault at each step at which it can occur.
+"""
--- a/wisteriawood/tests/faults/__main__.py
+++ b/wisteriawood/tests/faults/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the complete fault matrix and prints each result."""
+"""Runs all fault tests, with every scenario of the fault matrix."""
 
 import os
 import pathlib
@@ -7,7 +7,8 @@
 
 
 def main() -> int:
-    """Run the matrix and return the exit status."""
+    """Run the tests and return the exit status: 0 if none failed."""
+    # The test modules read this when discovery imports them.
     os.environ["WISTERIAWOOD_FAULTS"] = "all"
     here = pathlib.Path(__file__).parent
     suite = unittest.defaultTestLoader.discover(
--- a/wisteriawood/tests/faults/task_faults.py
+++ b/wisteriawood/tests/faults/task_faults.py
@@ -146,7 +146,7 @@
         if placement.task.state != tasks.TaskState.RUNNING:
             return
         if "throttle" in self.actions:
-            worker.order_throttle(SUBJECT, 0.5)
+            worker.request_throttle(SUBJECT, 0.5)
         if "evict" in self.actions:
             worker.request_eviction(SUBJECT, "requested by the test")
 
