--- a/wisteriawood/bench/control.py
+++ b/wisteriawood/bench/control.py
@@ -134,78 +134,65 @@
 
 
 async def _run() -> list[base.Measurement]:
-    baseline = await measure_idle(hosts=1, workers=FEW_WORKERS)
-    more_workers = await measure_idle(hosts=1, workers=MANY_WORKERS)
-    more_hosts = await measure_idle(hosts=MANY_HOSTS, workers=FEW_WORKERS)
+    few = await measure_idle(hosts=1, workers=FEW_WORKERS)
+    many = await measure_idle(hosts=1, workers=MANY_WORKERS)
+    multi = await measure_idle(hosts=MANY_HOSTS, workers=FEW_WORKERS)
     workers = MANY_WORKERS - FEW_WORKERS
     hosts = MANY_HOSTS - 1
     figures = [
-        ("scheduler/processor", 100 * baseline.scheduler_cores, "% core", 1.6),
-        ("scheduler/memory", baseline.scheduler_bytes / 10**6, "MB", 64.0),
-        ("entry/processor", 100 * baseline.entry_cores, "% core", 1.6),
-        ("entry/memory", baseline.entry_bytes / 10**6, "MB", 64.0),
+        ("scheduler/processor", 100 * few.scheduler_cores, "% core", 1.6),
+        ("scheduler/memory", few.scheduler_bytes / 10**6, "MB", 64.0),
+        ("entry/processor", 100 * few.entry_cores, "% core", 1.6),
+        ("entry/memory", few.entry_bytes / 10**6, "MB", 64.0),
         (
             "worker/processor",
-            100
-            * _slope(
-                baseline.scheduler_cores, more_workers.scheduler_cores, workers
-            ),
+            100 * _slope(few.scheduler_cores, many.scheduler_cores, workers),
             "% core",
             1.6,
         ),
         (
             "worker/memory",
-            _slope(
-                baseline.scheduler_bytes, more_workers.scheduler_bytes, workers
-            )
-            / 1000,
+            _slope(few.scheduler_bytes, many.scheduler_bytes, workers) / 1000,
             "KB",
             64_000.0,
         ),
         (
             "worker/wire",
-            _slope(
-                baseline.wire_bytes_per_s,
-                more_workers.wire_bytes_per_s,
-                workers,
-            )
+            _slope(few.wire_bytes_per_s, many.wire_bytes_per_s, workers)
             / 1000,
             "KB/s",
             5.0,
         ),
         (
             "worker/reads",
-            _slope(baseline.reads_per_s, more_workers.reads_per_s, workers),
+            _slope(few.reads_per_s, many.reads_per_s, workers),
             "1/s",
             None,
         ),
         (
             "host/reads",
-            _slope(baseline.reads_per_s, more_hosts.reads_per_s, hosts),
+            _slope(few.reads_per_s, multi.reads_per_s, hosts),
             "1/s",
             None,
         ),
         (
             "host/writes",
-            _slope(baseline.writes_per_s, more_hosts.writes_per_s, hosts),
+            _slope(few.writes_per_s, multi.writes_per_s, hosts),
             "1/s",
             None,
         ),
         (
             "host/wire",
-            _slope(
-                baseline.wire_bytes_per_s, more_hosts.wire_bytes_per_s, hosts
-            )
-            / 1000,
+            _slope(few.wire_bytes_per_s, multi.wire_bytes_per_s, hosts) / 1000,
             "KB/s",
             None,
         ),
     ]
     return [
         base.Measurement(
-            name=f"control/{name}", value=value, unit=unit, at_most=at_most
+            name=f"control/{name}", value=value, unit=unit, at_most=limit
         )
-        for name, value, unit, at_most in figures
+        for name, value, unit, limit in figures
     ]
 
 
--- a/wisteriawood/bench/requests.py
+++ b/wisteriawood/bench/requests.py
@@ -103,7 +103,7 @@
 
 async def slow_targets(zone: zone_fakes.FakeZone) -> None:
     """Slow down every fifth target by a factor of 3."""
-    for number, target in enumerate(zone.fake_targets.values()):
+    for number, target in enumerate(zone.fakes.values()):
         if number % SLOWED_TARGET_INTERVAL == 0:
             target.slowdown = SLOWDOWN_FACTOR
 
--- a/wisteriawood/bench/slots.py
+++ b/wisteriawood/bench/slots.py
@@ -136,20 +136,10 @@
     ]
     # The grants are sent in the first three rounds; later rounds are idle.
     first_bytes = sum(size_bytes for _e, _g, size_bytes in rounds[:3])
-    idle_rounds = rounds[3:]
-    entry_us = (
-        1e6
-        * sum(entry_s for entry_s, _g, _b in idle_rounds)
-        / len(idle_rounds)
-    )
-    grantor_us = (
-        1e6
-        * sum(grantor_s for _e, grantor_s, _b in idle_rounds)
-        / len(idle_rounds)
-    )
-    idle_bytes = sum(size_bytes for _e, _g, size_bytes in idle_rounds) / len(
-        idle_rounds
-    )
+    idle = rounds[3:]
+    entry_us = 1e6 * sum(entry_s for entry_s, _g, _b in idle) / len(idle)
+    grantor_us = 1e6 * sum(grantor_s for _e, grantor_s, _b in idle) / len(idle)
+    idle_bytes = sum(size_bytes for _e, _g, size_bytes in idle) / len(idle)
     area = f"slots/{size}-targets"
     return [
         base.Measurement(
--- a/wisteriawood/bench/tasks.py
+++ b/wisteriawood/bench/tasks.py
@@ -45,48 +45,40 @@
 
 
 def _measure_site(site: sites.Site) -> list[base.Measurement]:
-    def _run_seeds(
-        seeds=SEEDS, **policies
-    ) -> list[colocations.SimulationResult]:
+    def _runs(seeds=SEEDS, **policies) -> list[colocations.SimulationResult]:
         return [_run(site, seed, **policies) for seed in seeds]
 
-    oracle = _run_seeds(is_oracle=True)
-    least_harm = _run_seeds()
-    least_loaded = _run_seeds(placement="least-loaded")
-    first_fit = _run_seeds(seeds=SEEDS[:1], placement="first-fit")
-    make_measurement = functools.partial(_make_measurement, site)
+    oracle = _runs(is_oracle=True)
+    default = _runs()
+    least_loaded = _runs(placement="least-loaded")
+    first_fit = _runs(seeds=SEEDS[:1], placement="first-fit")
+    make = functools.partial(_make_measurement, site)
     ratios = [
         actual.finished_core_s / ideal.finished_core_s
-        for actual, ideal in zip(least_harm, oracle, strict=True)
+        for actual, ideal in zip(default, oracle, strict=True)
     ]
-    evictions = sum(result.evictions for result in least_harm)
+    evictions = sum(result.evictions for result in default)
     baseline_evictions = sum(result.evictions for result in least_loaded)
     measurements = [
-        make_measurement(
-            "service-p99-slowdown", _max_p99(least_harm), "times", at_most=1.1
-        ),
-        make_measurement(
-            "batch-of-oracle", min(ratios), "of it", at_least=0.9
-        ),
-        make_measurement(
+        make("service-p99-slowdown", _max_p99(default), "times", at_most=1.1),
+        make("batch-of-oracle", min(ratios), "of it", at_least=0.9),
+        make(
             "evictions-of-least-loaded",
             evictions / max(1, baseline_evictions),
             "of them",
             at_most=0.5,
         ),
-        make_measurement(
+        make(
             "memory-counted",
-            _max_allocated_share(least_harm),
+            _max_allocated_share(default),
             "of all",
             at_most=1.0,
         ),
-        make_measurement(
-            "memory-overruns", _sum("overruns", least_harm), "jobs"
-        ),
+        make("memory-overruns", _sum("overruns", default), "jobs"),
     ]
     for name, results in (
         ("oracle", oracle),
-        ("least-harm", least_harm),
+        ("least-harm", default),
         ("least-loaded", least_loaded),
         ("first-fit", first_fit),
     ):
@@ -95,12 +87,10 @@
         lost = _sum("lost_core_s", results) / 3600 / run_count
         evicted = _sum("evictions", results) / run_count
         measurements += [
-            make_measurement(
-                f"{name}/p99-slowdown", _max_p99(results), "times"
-            ),
-            make_measurement(f"{name}/batch-finished", work, "core-h/run"),
-            make_measurement(f"{name}/evictions", evicted, "jobs/run"),
-            make_measurement(f"{name}/work-lost", lost, "core-h/run"),
+            make(f"{name}/p99-slowdown", _max_p99(results), "times"),
+            make(f"{name}/batch-finished", work, "core-h/run"),
+            make(f"{name}/evictions", evicted, "jobs/run"),
+            make(f"{name}/work-lost", lost, "core-h/run"),
         ]
     return measurements
 
--- a/wisteriawood/bench/zone_fakes.py
+++ b/wisteriawood/bench/zone_fakes.py
@@ -195,7 +195,7 @@
         "_dispatchers",
         "_is_rebalancing",
         "_size",
-        "fake_targets",
+        "fakes",
         "result",
         "services",
         "shares",
@@ -214,15 +214,14 @@
         self.result = RunResult()
         self._size = size
         self._is_rebalancing = is_rebalancing
-        self.fake_targets = {
+        self.fakes = {
             f"target-{number:03d}": FakeTarget(
                 delay_s=size.delay_s, result=self.result
             )
             for number in range(size.targets)
         }
         self.shares = {
-            name: shares.TargetShares(target=name)
-            for name in self.fake_targets
+            name: shares.TargetShares(target=name) for name in self.fakes
         }
         self.services = [
             services.Service(
@@ -241,7 +240,7 @@
             for service in self.services
         ]
         for holder, service in enumerate(self.services):
-            for name, fake in self.fake_targets.items():
+            for name, fake in self.fakes.items():
                 grant = grants.SlotGrant(
                     target=name,
                     address=name,
--- a/wisteriawood/links/callers.py
+++ b/wisteriawood/links/callers.py
@@ -138,7 +138,7 @@
     )
 
 
-def _invalid_path_error() -> errors.RequestNotRunError:
+def _bad_path_error() -> errors.RequestNotRunError:
     return errors.RequestNotRunError(
         reason="write the path and the query in percent-encoded ASCII",
         status=400,
@@ -214,9 +214,7 @@
             service = find_service(*names) or _DEFAULT_SERVICE
             request = await _to_request(incoming, request_id, service)
         except UnicodeDecodeError:
-            return _to_response(
-                error_answer(request_id, _invalid_path_error())
-            )
+            return _to_response(error_answer(request_id, _bad_path_error()))
         except errors.RequestError as exc:
             return _to_response(error_answer(request_id, exc))
         try:
@@ -225,7 +223,7 @@
             answer = error_answer(request_id, exc)
         return _to_response(answer)
 
-    async def _handle_unknown_route(
+    async def _refuse_route(
         _incoming: http_requests.Request, exc: Exception
     ) -> responses.Response:
         status = getattr(exc, "status_code", 400)
@@ -241,10 +239,7 @@
             routing.Route(path, _handle, methods=METHODS)
             for path in ("/{team}/{service}", "/{team}/{service}/{path:path}")
         ],
-        exception_handlers={
-            404: _handle_unknown_route,
-            405: _handle_unknown_route,
-        },
+        exception_handlers={404: _refuse_route, 405: _refuse_route},
     )
     app.router.redirect_slashes = False
     return app
--- a/wisteriawood/links/stores.py
+++ b/wisteriawood/links/stores.py
@@ -149,29 +149,22 @@
 async def commit_with_retry(
     store: Store, change: Change, *, give_up_at_s: float | None = None
 ) -> int:
-    """Commit a change, and retry until its outcome is known.
+    """Commit a change with retries, and return the version of its rows.
 
     If an acknowledgement is lost, the same change is sent again. Its
-    conditions can hold for only one of the two attempts; if the second
-    one conflicts, the values of the rows show whether the first one was
-    committed. This requires that at least one written row also has an
-    expected version, and that its new value differs from all its earlier
-    values.
+    conditions hold for one attempt only: if the second one conflicts, the
+    rows show whether the first was committed. So at least one written row
+    needs an expected version and a value that differs from its earlier ones.
 
     Args:
         store: The store.
         change: The change to commit.
-        give_up_at_s: Monotonic time at which to stop; None to retry
-            without a limit.
-
-    Returns:
-        The version of the rows written.
+        give_up_at_s: Monotonic time at which to stop; None for no limit.
 
     Raises:
         ChangeConflictError: Another writer changed a row.
         PlatformUnavailableError: No attempt can have taken effect.
-        TransactionUnknownError: The outcome is still unknown at
-            `give_up_at_s`.
+        TransactionUnknownError: Unknown outcome at `give_up_at_s`.
     """
     may_have_effect = False
     cause = ""
