--- a/wisteriawood/cells/cells.py
+++ b/wisteriawood/cells/cells.py
@@ -53,10 +53,8 @@
         writer: Writes the rows of the jobs.
         model: Estimates of the load that fillers add to serving tasks.
         filler_meter: Measures the rate at which fillers complete work.
-        orphans: Runs loaded from the store whose worker the directory has
-            not listed yet, by worker.
-        other_loads: Last reported loads of the service's other cells, by
-            cell.
+        orphans: Stored runs of workers not in the directory yet, by worker.
+        other_loads: Last reported loads of the service's other cells, by cell.
     """
 
     __slots__ = (
@@ -160,9 +158,8 @@
     async def run_placement(self) -> None:
         """Run a placement pass after each request, until cancelled.
 
-        Requests that arrive within PLACEMENT_PAUSE_S share a pass, which
-        bounds the processor time that a large cell with many worker
-        reports spends on placement.
+        Requests within PLACEMENT_PAUSE_S share a pass, which bounds the CPU
+        time that a large cell with many worker reports spends on placement.
         """
         while True:
             await self._placement_requested.wait()
@@ -230,8 +227,7 @@
             worker: The worker.
             run: The run.
             outcome: How it ended.
-            checkpoint: Its last checkpoint; empty to use the one last
-                reported.
+            checkpoint: Its last checkpoint; empty for the last reported one.
 
         Returns:
             The batch that writes the change; None if the task has a newer
@@ -364,9 +360,9 @@
             worker: The worker.
             run: The run.
         """
-        # If the call fails, the worker keeps the old pace until the filler
-        # pacer changes the pace again. While the tail latency is near its
-        # bound, its next checks do so unless the pace is already 0.
+        # If the call fails, the worker keeps the old pace until the pacer
+        # changes it again: at its next checks while the tail latency is near
+        # its bound, unless the pace is already 0.
         self._send_in_background(
             worker,
             run.name,
